--- a/Makefile
+++ b/Makefile
@@ -3,8 +3,9 @@
 GO ?= go
 TOOLS := $(CURDIR)/bin/tools
 REVIVE := $(TOOLS)/revive
+GOPLS := $(TOOLS)/gopls
 
-.PHONY: build demo test lint unit soak bench emulate proto clean
+.PHONY: build demo test lint unit soak bench emulate proto tools clean
 
 build:
 	$(GO) build -o bin/ ./cmd/...
@@ -34,6 +35,13 @@
 $(REVIVE):
 	GOBIN=$(TOOLS) $(GO) install github.com/mgechev/revive@v1.13.0
 
+# tools installs what the maintainers use beside the linter: gopls renames an
+# identifier with every use (gopls rename -w FILE:LINE:COLUMN NAME).
+tools: $(REVIVE) $(GOPLS)
+
+$(GOPLS):
+	GOBIN=$(TOOLS) $(GO) install golang.org/x/tools/gopls@v0.23.0
+
 # soak lets faults come over one another for some seconds a seed: make soak SEEDS=50 SEED=1
 SEED ?= 1
 SEEDS ?= 50
