--- a/core/prompt/coldstart.go
+++ b/core/prompt/coldstart.go
@@ -8,105 +8,107 @@
 )
 
 const (
-	// coldTrust is how many times as long as a backend server is cold after its start its
-	// word for it is taken: it takes it back by itself, unless the store is out.
-	coldTrust = 3
-	// coldQuiet is how long a router that has just started sends nothing to cold backend
-	// servers: it doesn't know the other routers yet, and routers that start together
-	// would each take themselves for one that may send.
-	coldQuiet = 2 * time.Second
-	// maxOwnCold is how many cold backend servers of which this router is a sender are
-	// looked at for a request: no other router sends to them.
-	maxOwnCold = 4
+	// coldAnnouncementFactor limits how long a backend server's announcement that it is cold is valid, as a multiple
+	// of ColdFor. The backend server withdraws the announcement itself unless the store is unavailable.
+	coldAnnouncementFactor = 3
+	// coldStartupDelay is how long a router that has just started dispatches nothing to cold backend servers. It does
+	// not have the list of routers yet, and routers that start together would each consider themselves as an allowed
+	// sender.
+	coldStartupDelay = 2 * time.Second
+	// maxAssignedCold is the largest number of cold backend servers assigned to this router that are evaluated for a
+	// request. Routers that they are not assigned to send nothing there.
+	maxAssignedCold = 4
 )
 
-// coldStart is what is known of a backend server's being cold.
+// coldStart is the cold state of a backend server.
 type coldStart struct {
-	until model.Time // when its own word for it ends at the latest, 0 for none
-	// back is until when it is taken for cold as its data hall was taken back: backend
-	// servers may turn cold while their hall is evacuated, and the word for that comes
-	// apart from that for the hall.
-	back  model.Time
-	part  int // requests in any second that this router may send there
-	meter cold.Meter
+	announcedUntil model.Time // when its announcement expires, 0 for none
+	// restoredUntil is until when it is considered cold because the evacuation of its data hall has ended. Backend
+	// servers may become cold during an evacuation, and their announcement arrives separately from the end of the
+	// evacuation.
+	restoredUntil model.Time
+	quota         int // requests that this router may send there per second
+	meter         cold.Meter
 }
 
-// configure follows a change of a backend server.
+// configure applies a configuration change of a backend server.
 func (c *coldStart) configure(now model.Time, before, after Backend, p Pool) {
 	switch {
 	case p.ColdBound <= 0:
-		c.until, c.back = 0, 0
+		c.announcedUntil, c.restoredUntil = 0, 0
 		return
 	case !after.Cold:
-		c.until = 0
+		c.announcedUntil = 0
 	case !before.Cold:
-		c.until = now + coldTrust*p.ColdFor
+		c.announcedUntil = now + coldAnnouncementFactor*p.ColdFor
 	}
 	if before.Evacuated && !after.Evacuated {
-		c.back = now + p.ColdFor
+		c.restoredUntil = now + p.ColdFor
 	}
 }
 
-// is tells whether the backend server is taken for cold.
-func (c *coldStart) is(now model.Time) bool { return now < c.until || now < c.back }
+// active reports whether the backend server is considered cold.
+func (c *coldStart) active(now model.Time) bool {
+	return now < c.announcedUntil || now < c.restoredUntil
+}
 
-// takes tells whether this router may send something there.
-func (c *coldStart) takes(now model.Time) bool {
-	return !c.is(now) || c.meter.Sent(now) < c.part
+// accepts reports whether this router may send a request there.
+func (c *coldStart) accepts(now model.Time) bool {
+	return !c.active(now) || c.meter.Sent(now) < c.quota
 }
 
-// fleet is what the parts of cold backend servers rest on.
-type fleet struct {
-	began   model.Time // this router's process
-	settled bool       // it is old enough to send to cold backend servers
-	told    bool       // somebody has said which other routers there are
+// coldAssignment holds what determines the quotas for cold backend servers.
+type coldAssignment struct {
+	started model.Time // start of this router's process
+	ready   bool       // coldStartupDelay has passed
+	listed  bool       // the list of routers has been received
 	self    string
-	ring    *cold.Ring // of all routers that are known, dead ones too, and this one
-	// mine are the cold backend servers of which this router is a sender, by pool.
-	mine map[model.PoolID][]model.BackendID
+	ring    *cold.Ring // all listed routers, including dead ones and this one
+	// assigned lists the cold backend servers that this router may send to, by pool.
+	assigned map[model.PoolID][]model.BackendID
 }
 
-// KnowRouters takes the names of all routers that are known, this one included; told tells
-// whether anybody has said which there are.
-func (m *Machine) KnowRouters(self string, routers []string, told bool) {
-	m.fleet.told = told
-	m.fleet.self = self
-	m.fleet.ring = cold.NewRing(routers)
-	m.shareColdOut()
+// KnowRouters sets the names of all routers, this one included; listed reports whether the list of routers has been
+// received at all.
+func (m *Machine) KnowRouters(self string, routers []string, listed bool) {
+	m.coldAssignment.listed = listed
+	m.coldAssignment.self = self
+	m.coldAssignment.ring = cold.NewRing(routers)
+	m.assignCold()
 	m.version++
 }
 
-// shareColdOut works out this router's parts of the backend servers that are cold.
-func (m *Machine) shareColdOut() {
-	may := m.fleet.told && m.fleet.settled
-	m.fleet.mine = map[model.PoolID][]model.BackendID{}
+// assignCold computes this router's quotas for the cold backend servers.
+func (m *Machine) assignCold() {
+	allowed := m.coldAssignment.listed && m.coldAssignment.ready
+	m.coldAssignment.assigned = map[model.PoolID][]model.BackendID{}
 	for _, id := range m.order {
 		s := m.servers[id]
-		s.cold.part = 0
-		if !may || !s.cold.is(m.now) {
+		s.cold.quota = 0
+		if !allowed || !s.cold.active(m.now) {
 			continue
 		}
-		s.cold.part = m.fleet.ring.Part(m.fleet.self, s.Name, m.config.Pools[s.Pool].ColdBound)
-		if s.cold.part > 0 {
-			m.fleet.mine[s.Pool] = append(m.fleet.mine[s.Pool], id)
+		s.cold.quota = m.coldAssignment.ring.Part(m.coldAssignment.self, s.Name, m.config.Pools[s.Pool].ColdBound)
+		if s.cold.quota > 0 {
+			m.coldAssignment.assigned[s.Pool] = append(m.coldAssignment.assigned[s.Pool], id)
 		}
 	}
 }
 
-// endColdQuiet works the parts out anew once this router may send to cold backend servers.
-func (m *Machine) endColdQuiet() {
-	if !m.fleet.settled && m.now >= m.fleet.began+coldQuiet {
-		m.fleet.settled = true
-		m.shareColdOut()
+// enableCold computes the quotas again once coldStartupDelay has passed.
+func (m *Machine) enableCold() {
+	if !m.coldAssignment.ready && m.now >= m.coldAssignment.started+coldStartupDelay {
+		m.coldAssignment.ready = true
+		m.assignCold()
 	}
 }
 
-// ownCold returns cold backend servers of a pool that take something from this router.
-func (m *Machine) ownCold(pool model.PoolID) []model.BackendID {
+// assignedCold returns cold backend servers of a pool that accept a request from this router.
+func (m *Machine) assignedCold(pool model.PoolID) []model.BackendID {
 	var out []model.BackendID
-	for _, id := range m.fleet.mine[pool] {
+	for _, id := range m.coldAssignment.assigned[pool] {
 		s := m.servers[id]
-		if len(out) < maxOwnCold && s.cold.is(m.now) && m.takes(s) {
+		if len(out) < maxAssignedCold && s.cold.active(m.now) && m.accepts(s) {
 			out = append(out, id)
 		}
 	}
--- a/core/prompt/coldstart_test.go
+++ b/core/prompt/coldstart_test.go
@@ -13,8 +13,7 @@
 
 const coldBound = 14
 
-// coldConfig is a pool of engines that bear few requests while they are cold, all of which
-// a function changes.
+// coldConfig returns a pool of engines with a bound on requests while they are cold, after applying change to each.
 func coldConfig(engines int, change func(i int, b *Backend)) Config {
 	c := testConfig(engines)
 	c.Pools[pool] = Pool{Engine: true, Memory: 500_000, ColdBound: coldBound, ColdFor: 3 * time.Second}
@@ -28,12 +27,12 @@
 	return c
 }
 
-func allCold(_ int, b *Backend) { b.Cold = true }
+func setCold(_ int, b *Backend) { b.Cold = true }
 
-func isWarm(int, *Backend) {}
+func setWarm(int, *Backend) {}
 
-// fleetOf returns the machines of routers that know each other and have the same engines.
-func fleetOf(routers int, now model.Time, c Config) []*Machine {
+// newFleet returns the machines of routers that have each other's names and the same engines.
+func newFleet(routers int, now model.Time, c Config) []*Machine {
 	var names []string
 	for i := range routers {
 		names = append(names, fmt.Sprintf("router-%d", i))
@@ -48,24 +47,23 @@
 	return out
 }
 
-// short returns a request whose prompt is read in a few milliseconds.
-func short(id model.RequestID) Request {
-	r := ask(id, 1, uint64(id), 100)
+// shortRequest returns a request whose prompt is prefilled in a few milliseconds.
+func shortRequest(id model.RequestID) Request {
+	r := newRequest(id, 1, uint64(id), 100)
 	r.Prompt.Tokens = 200
 	r.Prompt.Parts[0].Tokens = 100
 	return r
 }
 
-// flood lets callers ask each router for something every 10 ms for so long, and returns
-// when each engine was sent to.
-func flood(fleet []*Machine, from, long model.Time) map[model.BackendID][]model.Time {
+// flood sends a request to each router every 10 ms, and returns when requests were dispatched to each engine.
+func flood(fleet []*Machine, start, duration model.Time) map[model.BackendID][]model.Time {
 	sent := map[model.BackendID][]model.Time{}
-	id := model.RequestID(from) // prompts that weren't read before
-	for now := from; now < from+long; now += 10 * time.Millisecond {
+	id := model.RequestID(start) // prompts not sent before
+	for now := start; now < start+duration; now += 10 * time.Millisecond {
 		for _, m := range fleet {
 			id++
 			m.Sample(now)
-			m.Arrive(now, short(id))
+			m.Arrive(now, shortRequest(id))
 			m.Tick(now)
 			for _, a := range m.Take() {
 				if d, ok := a.(Dispatch); ok {
@@ -78,8 +76,8 @@
 	return sent
 }
 
-// most returns the most that any engine was sent in a second.
-func most(sent map[model.BackendID][]model.Time) int {
+// maxPerSecond returns the most requests that any engine received in a second.
+func maxPerSecond(sent map[model.BackendID][]model.Time) int {
 	out := 0
 	for _, times := range sent {
 		first := 0
@@ -93,43 +91,42 @@
 	return out
 }
 
-// TestColdEnginesGetFew floods routers whose engines are all cold, and lets them become warm.
-func TestColdEnginesGetFew(t *testing.T) {
+// TestColdRequestBound floods routers while all engines are cold, and again when they no longer are.
+func TestColdRequestBound(t *testing.T) {
 	is := is.New(t)
-	cold := coldConfig(4, allCold)
-	fleet := fleetOf(6, 0, cold)
-	is.Equal(len(flood(fleet, 0, coldQuiet)), 0) // nobody knows the others yet
-	sent := flood(fleet, coldQuiet+time.Second, 3*time.Second)
-	is.Equal(len(sent), 4) // each is used
-	is.True(most(sent) <= coldBound)
-	is.True(most(sent) >= coldBound/2)
+	cold := coldConfig(4, setCold)
+	fleet := newFleet(6, 0, cold)
+	is.Equal(len(flood(fleet, 0, coldStartupDelay)), 0) // routers wait for each other's names
+	sent := flood(fleet, coldStartupDelay+time.Second, 3*time.Second)
+	is.Equal(len(sent), 4) // all engines are used
+	is.True(maxPerSecond(sent) <= coldBound)
+	is.True(maxPerSecond(sent) >= coldBound/2)
 	for _, m := range fleet {
-		m.Configure(7*time.Second, coldConfig(4, isWarm))
+		m.Configure(7*time.Second, coldConfig(4, setWarm))
 	}
-	is.True(most(flood(fleet, 7*time.Second, time.Second)) > coldBound)
+	is.True(maxPerSecond(flood(fleet, 7*time.Second, time.Second)) > coldBound)
 }
 
-// TestColdEndsWithoutTheStore leaves engines' word for being cold standing, as when the
-// store is out.
-func TestColdEndsWithoutTheStore(t *testing.T) {
+// TestColdAnnouncementExpires leaves the engines' announcements in place, as if the store were unavailable.
+func TestColdAnnouncementExpires(t *testing.T) {
 	is := is.New(t)
-	fleet := fleetOf(6, 0, coldConfig(4, allCold))
-	is.True(most(flood(fleet, 8*time.Second, 900*time.Millisecond)) <= coldBound)
-	is.True(most(flood(fleet, 10*time.Second, time.Second)) > coldBound)
+	fleet := newFleet(6, 0, coldConfig(4, setCold))
+	is.True(maxPerSecond(flood(fleet, 8*time.Second, 900*time.Millisecond)) <= coldBound)
+	is.True(maxPerSecond(flood(fleet, 10*time.Second, time.Second)) > coldBound)
 }
 
-// TestRouterThatKnowsNoOtherSendsNothingCold has routers whose list of routers nobody has read.
-func TestRouterThatKnowsNoOtherSendsNothingCold(t *testing.T) {
+// TestNoColdDispatchWithoutRouterList has routers that have not received the list of routers.
+func TestNoColdDispatchWithoutRouterList(t *testing.T) {
 	is := is.New(t)
-	fleet := fleetOf(6, 0, coldConfig(4, allCold))
+	fleet := newFleet(6, 0, coldConfig(4, setCold))
 	for _, m := range fleet {
-		m.KnowRouters(m.fleet.self, []string{m.fleet.self}, false)
+		m.KnowRouters(m.coldAssignment.self, []string{m.coldAssignment.self}, false)
 	}
 	is.Equal(len(flood(fleet, 3*time.Second, time.Second)), 0)
 }
 
-// TestEvacuatedHallGetsNothing evacuates one of two data halls, takes it back and evacuates both.
-func TestEvacuatedHallGetsNothing(t *testing.T) {
+// TestNoDispatchToEvacuatedHall evacuates one of two data halls, ends the evacuation and evacuates both.
+func TestNoDispatchToEvacuatedHall(t *testing.T) {
 	is := is.New(t)
 	evacuate := func(halls ...string) Config {
 		return coldConfig(4, func(_ int, b *Backend) {
@@ -139,33 +136,33 @@
 		})
 	}
 	hall1 := []model.BackendID{model.Backend("engine-1"), model.Backend("engine-3")}
-	fleet := fleetOf(6, 0, evacuate("hall-1"))
+	fleet := newFleet(6, 0, evacuate("hall-1"))
 	sent := flood(fleet, 3*time.Second, time.Second)
 	is.Equal(len(sent), 2)
 	for _, id := range hall1 {
 		is.Equal(len(sent[id]), 0)
 	}
-	is.Equal(fleet[0].usable, 0.5)
+	is.Equal(fleet[0].usableFraction, 0.5)
 	for _, m := range fleet {
 		m.Configure(4*time.Second, evacuate())
 	}
 	sent = flood(fleet, 4*time.Second, 2*time.Second)
 	for _, id := range hall1 {
 		is.True(len(sent[id]) > 0)
-		is.True(most(map[model.BackendID][]model.Time{id: sent[id]}) <= coldBound) // they may have turned cold
+		is.True(maxPerSecond(map[model.BackendID][]model.Time{id: sent[id]}) <= coldBound) // they may have become cold
 	}
 	for _, m := range fleet {
 		m.Configure(8*time.Second, evacuate("hall-0", "hall-1"))
 	}
 	m := fleet[0]
-	m.Arrive(8*time.Second, ask(1<<40, 1, 1, 100))
+	m.Arrive(8*time.Second, newRequest(1<<40, 1, 1, 100))
 	refusal := m.Take()[0].(Refuse)
 	is.Equal(refusal.Reason, NoBackend)
-	is.Equal(refusal.Waited, time.Duration(0)) // there is nothing to wait for
+	is.Equal(refusal.Waited, time.Duration(0)) // waiting would be pointless
 }
 
-// TestEvacuatedServiceGetsNothing has all backend servers of a plain service in one data hall.
-func TestEvacuatedServiceGetsNothing(t *testing.T) {
+// TestNoDispatchToEvacuatedService has all backend servers of a plain service in one data hall.
+func TestNoDispatchToEvacuatedService(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	c := Config{
@@ -178,28 +175,28 @@
 	c.Backends[1] = Backend{Name: "one", Pool: pool, Hall: "hall-0", Slots: 4}
 	m.Configure(time.Second, c)
 	m.Arrive(time.Second, Request{ID: 2, Pool: pool, Objective: time.Second, Wait: time.Second})
-	is.Equal(dispatched(t, m).Backend, model.BackendID(1))
+	is.Equal(onlyDispatch(t, m).Backend, model.BackendID(1))
 }
 
-// TestCopiesAreReadFromAnEvacuatedHall has a prompt kept where nothing new may go.
-func TestCopiesAreReadFromAnEvacuatedHall(t *testing.T) {
+// TestCopyFromEvacuatedHall has a prompt cached only in an evacuated data hall.
+func TestCopyFromEvacuatedHall(t *testing.T) {
 	is := is.New(t)
-	c := coldConfig(2, isWarm)
+	c := coldConfig(2, setWarm)
 	p := c.Pools[pool]
 	p.CopyRate = 1e6
 	c.Pools[pool] = p
 	m := New(0, rand.New(rand.NewPCG(1, 2)))
 	m.Configure(0, c)
-	m.Arrive(0, ask(1, 1, 7, 1000))
-	first := dispatched(t, m)
+	m.Arrive(0, newRequest(1, 1, 7, 1000))
+	first := onlyDispatch(t, m)
 	m.Began(300*time.Millisecond, 1)
 	m.Finish(time.Second, 1, Done, 50)
 	evacuated := c.Backends[first.Backend]
 	evacuated.Evacuated = true
 	c.Backends[first.Backend] = evacuated
 	m.Configure(time.Second, c)
-	m.Arrive(2*time.Second, ask(2, 1, 7, 1000))
-	second := dispatched(t, m)
+	m.Arrive(2*time.Second, newRequest(2, 1, 7, 1000))
+	second := onlyDispatch(t, m)
 	is.True(second.Backend != first.Backend)
 	is.Equal(second.CopyFrom, first.Backend)
 }
--- a/core/prompt/hallhomes.go
+++ b/core/prompt/hallhomes.go
@@ -6,24 +6,24 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// byHallAndHolders returns the first backend servers of this router's data hall and those of
-// the others by rendezvous hashing, by turns, and then the first of the rest that are known to keep
-// a part. The first of all is the home here: routers of one data hall choose alike, and what
-// doesn't find room there goes where the others' routers send first.
-func (m *Machine) byHallAndHolders(order []weighed, part uint32) []model.BackendID {
+// byHallAndHolders returns, alternately, the first backend servers of this router's data hall and of the other data
+// halls by rendezvous hashing, followed by the first of the others that are known to cache a part. The first one is
+// the home in this data hall: routers of one data hall choose alike, and requests that exceed its capacity are
+// dispatched to the homes of other data halls.
+func (m *Machine) byHallAndHolders(order []weightedBackend, part uint32) []model.BackendID {
 	near, far := m.splitByHall(order)
-	out := alternate(idsOf(heaviest(near, ranked/2)), idsOf(heaviest(far, ranked/2)))
-	var keep []weighed
+	out := interleave(idsOf(heaviest(near, maxRanked/2)), idsOf(heaviest(far, maxRanked/2)))
+	var caching []weightedBackend
 	for _, w := range order {
-		if s := m.servers[w.id]; s.kept.has(s.sent, part, s.room) && !slices.Contains(out, w.id) {
-			keep = append(keep, w)
+		if s := m.servers[w.id]; s.cache.has(s.sentTokens, part, s.cacheTokens) && !slices.Contains(out, w.id) {
+			caching = append(caching, w)
 		}
 	}
-	return append(out, idsOf(heaviest(keep, holders))...)
+	return append(out, idsOf(heaviest(caching, maxHolders))...)
 }
 
-// splitByHall returns which backend servers are in this router's data hall and which aren't.
-func (m *Machine) splitByHall(all []weighed) (near, far []weighed) {
+// splitByHall returns the backend servers inside and outside of this router's data hall.
+func (m *Machine) splitByHall(all []weightedBackend) (near, far []weightedBackend) {
 	for _, w := range all {
 		if m.servers[w.id].Near {
 			near = append(near, w)
@@ -34,8 +34,8 @@
 	return near, far
 }
 
-// alternate takes from two lists by turns, from the first one first.
-func alternate(a, b []model.BackendID) []model.BackendID {
+// interleave returns the elements of two lists alternately, beginning with the first list.
+func interleave(a, b []model.BackendID) []model.BackendID {
 	out := make([]model.BackendID, 0, maxCandidates)
 	for i := range max(len(a), len(b)) {
 		if i < len(a) {
--- a/core/prompt/hallhomes_test.go
+++ b/core/prompt/hallhomes_test.go
@@ -16,7 +16,7 @@
 	halls       = 3
 )
 
-// hallMachine returns a router of a data hall, before engines that are spread over all halls.
+// hallMachine returns a router in a data hall, with engines spread over all data halls.
 func hallMachine(hall int, seed uint64, hallHomes bool) *Machine {
 	c := testConfig(0)
 	c.TokensPerSecond = hallEngines * 33_334
@@ -30,14 +30,14 @@
 	return m
 }
 
-// sends returns the part of a router's requests about so many things that leave its data hall, and where each went.
-func sends(t *testing.T, m *Machine, things int) (far float64, homes []model.BackendID) {
+// farFraction returns the fraction of a router's requests that leave its data hall, and the backend server of each.
+func farFraction(t *testing.T, m *Machine, prompts int) (far float64, homes []model.BackendID) {
 	t.Helper()
 	now := time.Duration(0)
-	for thing := range uint64(things) {
-		id := model.RequestID(thing + 1)
-		m.Arrive(now, ask(id, 1, thing, 1000))
-		d := dispatched(t, m)
+	for prompt := range uint64(prompts) {
+		id := model.RequestID(prompt + 1)
+		m.Arrive(now, newRequest(id, 1, prompt, 1000))
+		d := onlyDispatch(t, m)
 		if !m.servers[d.Backend].Near {
 			far++
 		}
@@ -46,37 +46,37 @@
 		m.Finish(now+200*time.Millisecond, id, Done, 50)
 		now += time.Second
 	}
-	return far / float64(things), homes
+	return far / float64(prompts), homes
 }
 
-// TestHomesInTheHallKeepRequestsThere asks idle engines for prompts with shared parts: with a home
-// in each data hall nothing leaves it, and the routers of a hall still choose alike.
-func TestHomesInTheHallKeepRequestsThere(t *testing.T) {
+// TestHallHomesAvoidCrossHallDispatch sends prompts with shared parts to idle engines: with a home in each data hall,
+// no request leaves it, and the routers of a data hall still choose alike.
+func TestHallHomesAvoidCrossHallDispatch(t *testing.T) {
 	is := is.New(t)
-	far, _ := sends(t, hallMachine(0, 1, false), 60)
+	far, _ := farFraction(t, hallMachine(0, 1, false), 60)
 	is.True(far > 0.5)
-	far, one := sends(t, hallMachine(0, 1, true), 60)
+	far, one := farFraction(t, hallMachine(0, 1, true), 60)
 	is.Equal(far, 0.0)
-	_, other := sends(t, hallMachine(0, 2, true), 60)
+	_, other := farFraction(t, hallMachine(0, 2, true), 60)
 	is.Equal(one, other)
 }
 
-// TestFullHallSendsToTheOthersHomes fills the engines of a data hall: its routers send what they can't serve there
-// to where the other halls' own routers would.
-func TestFullHallSendsToTheOthersHomes(t *testing.T) {
+// TestFullHallOverflowsToRemoteHomes fills the engines of a data hall: its routers dispatch what does not fit there
+// to the homes that the routers of other data halls choose.
+func TestFullHallOverflowsToRemoteHomes(t *testing.T) {
 	is := is.New(t)
 	m := hallMachine(0, 1, true)
 	for _, s := range m.servers {
 		if s.Near {
-			s.sentElsewhere(0, 100_000)
+			s.addRemote(0, 100_000)
 		}
 	}
 	homes := map[model.BackendID]bool{}
 	for hall := 1; hall < halls; hall++ {
 		o := hallMachine(hall, 3, true)
-		o.Arrive(0, ask(1, 1, 7, 1000))
-		homes[dispatched(t, o).Backend] = true
+		o.Arrive(0, newRequest(1, 1, 7, 1000))
+		homes[onlyDispatch(t, o).Backend] = true
 	}
-	m.Arrive(0, ask(1, 1, 7, 1000))
-	is.True(homes[dispatched(t, m).Backend])
+	m.Arrive(0, newRequest(1, 1, 7, 1000))
+	is.True(homes[onlyDispatch(t, m).Backend])
 }
--- a/core/prompt/health.go
+++ b/core/prompt/health.go
@@ -9,95 +9,92 @@
 )
 
 const (
-	// failureWeight is the weight of the newest ending in the share of failures.
+	// failureWeight is the weight of the newest ending in the failure rate.
 	failureWeight = 0.2
-	// failuresBad is the share of failures from which a backend server is left
-	// out, but for a trial now and then.
-	failuresBad = 0.3
-	// trialPause is how long it is left out; it varies by as much again.
+	// maxFailureRate is the failure rate above which a backend server is excluded, except for occasional trials.
+	maxFailureRate = 0.3
+	// trialPause is the minimum time of this exclusion; a random time of up to trialPause is added.
 	trialPause = 700 * time.Millisecond
-	// unreachedPause is how long one that couldn't be reached is left out.
-	unreachedPause = 500 * time.Millisecond
-	// rejectedPause is how long one that was full is left out.
+	// unreachablePause is how long a backend server is excluded that could not be reached.
+	unreachablePause = 500 * time.Millisecond
+	// rejectedPause is how long a backend server is excluded that was full.
 	rejectedPause = 50 * time.Millisecond
-	// forgetting is the time in which what was seen of failures fades to a third.
-	forgetting = 3 * time.Second
-	// slowWeight is the weight of the newest answer in the slowness, and maxSlow
-	// the greatest slowness.
-	slowWeight = 0.15
-	maxSlow    = 8
-	// slowKept is the time in which the slowness fades to a third unless answers confirm
-	// it: one that is taken for slow gets few requests, whose answers alone would tell
-	// that it isn't any more.
-	slowKept = 20 * time.Second
-	// slowFrom is the expected delay from which on an answer tells of slowness.
-	slowFrom = 120 * time.Millisecond
+	// failureDecay is the time constant with which the failure rate decays.
+	failureDecay = 3 * time.Second
+	// slownessWeight is the weight of the newest answer in the slowness, and maxSlowness the largest slowness.
+	slownessWeight = 0.15
+	maxSlowness    = 8
+	// slownessDecay is the time constant with which the slowness decays towards 1 unless answers confirm it. A
+	// backend server that is considered slow receives few requests, and only their answers would show that it has
+	// recovered.
+	slownessDecay = 20 * time.Second
+	// minSlownessDelay is the least expected delay for which an answer is used to estimate the slowness.
+	minSlownessDelay = 120 * time.Millisecond
 )
 
-// health is what requests have shown of a backend server's state.
+// health is the state of a backend server as observed from requests.
 type health struct {
-	failures float64    // share of the last endings that were failures
-	noted    model.Time // when it was last known
-	until    model.Time
-	slow     float64 // 0 for not known, else how much slower than its rate it reads
+	failures      float64    // failure rate of recent endings
+	updated       model.Time // time of the last change of failures
+	excludedUntil model.Time
+	slowFactor    float64 // 0 if unknown, else by how many times the answers take longer than expected
 }
 
 func (h *health) slowness() float64 {
-	if h.slow < 1 {
+	if h.slowFactor < 1 {
 		return 1
 	}
-	return h.slow
+	return h.slowFactor
 }
 
-// fade lets some of the slowness fade.
-func (h *health) fade(passed time.Duration) {
-	if h.slow != 0 {
-		h.slow = 1 + (h.slow-1)*math.Exp(-passed.Seconds()/slowKept.Seconds())
+// decay reduces the slowness for the time elapsed.
+func (h *health) decay(elapsed time.Duration) {
+	if h.slowFactor != 0 {
+		h.slowFactor = 1 + (h.slowFactor-1)*math.Exp(-elapsed.Seconds()/slownessDecay.Seconds())
 	}
 }
 
-// began takes how long an answer took to begin and what was expected.
-func (h *health) began(took, expected time.Duration) {
-	if expected < slowFrom {
+// recordBegin updates the slowness from the time that an answer took to begin and the time expected.
+func (h *health) recordBegin(took, expected time.Duration) {
+	if expected < minSlownessDelay {
 		return
 	}
-	ratio := min(took.Seconds()/expected.Seconds()*h.slowness(), maxSlow)
-	if h.slow == 0 {
-		h.slow = 1
+	ratio := min(took.Seconds()/expected.Seconds()*h.slowness(), maxSlowness)
+	if h.slowFactor == 0 {
+		h.slowFactor = 1
 	}
-	h.slow += slowWeight * (ratio - h.slow)
+	h.slowFactor += slownessWeight * (ratio - h.slowFactor)
 }
 
-// finished takes how a request ended.
-func (h *health) finished(now model.Time, ending Ending, random *rand.Rand) {
+// recordEnd updates the failure rate and the exclusion from the outcome of a request.
+func (h *health) recordEnd(now model.Time, ending Ending, random *rand.Rand) {
 	if ending == Done || ending == Failed {
-		h.failures = h.failing(now)
-		h.noted = now
+		h.failures = h.failureRate(now)
+		h.updated = now
 	}
 	switch ending {
 	case Done:
 		h.failures -= failureWeight * h.failures
 	case Failed:
 		h.failures += failureWeight * (1 - h.failures)
-		if h.failures > failuresBad {
-			h.until = max(h.until, now+trialPause+time.Duration(random.Int64N(int64(trialPause))))
+		if h.failures > maxFailureRate {
+			h.excludedUntil = max(h.excludedUntil, now+trialPause+time.Duration(random.Int64N(int64(trialPause))))
 		}
 	case NotSent:
-		h.until = max(h.until, now+unreachedPause)
+		h.excludedUntil = max(h.excludedUntil, now+unreachablePause)
 	case Rejected:
-		h.until = max(h.until, now+rejectedPause)
+		h.excludedUntil = max(h.excludedUntil, now+rejectedPause)
 	case Left:
 	}
 }
 
-// failing returns the share of failures to reckon with: what was seen counts for
-// less as time passes, so that a backend server that failed is tried again.
-func (h *health) failing(now model.Time) float64 {
+// failureRate returns the failure rate, which decays over time, so that a backend server that failed is tried again.
+func (h *health) failureRate(now model.Time) float64 {
 	if h.failures == 0 {
 		return 0
 	}
-	return h.failures * math.Exp(-(now-h.noted).Seconds()/forgetting.Seconds())
+	return h.failures * math.Exp(-(now-h.updated).Seconds()/failureDecay.Seconds())
 }
 
-// out tells whether the backend server gets nothing new at present.
-func (h *health) out(now model.Time) bool { return now < h.until }
+// excluded reports whether the backend server currently receives no new requests.
+func (h *health) excluded(now model.Time) bool { return now < h.excludedUntil }
--- a/core/prompt/levels.go
+++ b/core/prompt/levels.go
@@ -7,139 +7,139 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// levels are the max-min shares of accounts that ask for more, in tokens of the
-// window.
+// levels holds the max-min shares and limits that apply to all accounts, in tokens of the window unless stated
+// otherwise.
 type levels struct {
-	// owed is the share of what the engines are said to make, or a part of what the
-	// account that has had the most has begun, where that is more; real is the share
-	// of what has begun in the window, where that is more still.
-	owed, real float64
-	enough     bool // there is enough for all
-	// even is the share of what is made in the time of a burst; plenty tells that there
-	// is enough for all then.
-	even   float64
-	plenty bool
-	// bound is what an account may begin in the window at the most, whatever idles, for others that
-	// are held up to stay within reach; brief is the same of the time of a burst.
-	bound, brief float64
-	// ahead is what an account must have begun in the window for that bound to hold for it, and aheadLately
-	// in the time of a burst: one that is behind the best served one itself keeps nobody from following.
-	ahead, aheadLately float64
-	// goOn is what an account may begin in the time of a burst though that bound holds for it.
-	goOn float64
-	best float64 // what the best served account has begun in the window
-	// spare tells that there is enough for all in the part of the window in which anything was asked
-	// for. At a cold start the whole window has enough for seconds, though engines can't make it yet.
-	spare bool
+	// fairShare is the share of the configured capacity, or a fraction of what the account that has started most has
+	// started, whichever is larger. observedShare is the share of what has been started in the window, if that is
+	// larger still.
+	fairShare, observedShare float64
+	sufficient               bool // the capacity suffices for all demand
+	// burstShare is the share of the capacity of a burst period. burstSufficient reports whether that capacity
+	// suffices for all demand.
+	burstShare      float64
+	burstSufficient bool
+	// windowLimit is the most that an account may start in the window regardless of idle capacity, so that
+	// constrained accounts do not fall too far behind. burstLimit is the same for a burst period.
+	windowLimit, burstLimit float64
+	// windowLimitFloor is what an account must have started in the window for windowLimit to apply to it, and
+	// burstLimitFloor the same for a burst period. An account that is behind the one that has started most does not
+	// prevent others from catching up.
+	windowLimitFloor, burstLimitFloor float64
+	// burstMinimum is what an account may start in a burst period even if a limit applies to it.
+	burstMinimum float64
+	mostStarted  float64 // most that any account has started in the window
+	// activeSufficient reports whether the capacity suffices for all demand in the part of the window that had any.
+	// At a cold start, the capacity of the whole window is sufficient for seconds, though engines cannot have
+	// processed that much yet.
+	activeSufficient bool
 }
 
-// levels works out the shares.
+// levels computes the shares and limits.
 func (m *Machine) levels() levels {
-	capacity := m.config.TokensPerSecond * m.usable * window.Seconds() * m.config.Tuning.Share
+	capacity := m.config.TokensPerSecond * m.usableFraction * window.Seconds() * m.config.Tuning.CapacityFraction
 	if capacity <= 0 {
-		return levels{enough: true, plenty: true, spare: true}
+		return levels{sufficient: true, burstSufficient: true, activeSufficient: true}
 	}
 	t := &m.config.Tuning
-	all, lately := m.shares.demandOver((*history).inWindow), m.shares.demandOver((*history).lately)
+	inWindow, inBurst := m.shares.demandOver((*history).inWindow), m.shares.demandOver((*history).inBurst)
 	var out levels
-	out.owed, out.enough = maxMin(all.asked, capacity)
-	span := m.span()
-	var kept float64
-	kept, out.spare = maxMin(all.asked, capacity*span.Seconds()/window.Seconds())
-	out.best = all.best
-	out.ahead, out.aheadLately = t.BehindPart*all.best, t.BehindPart*lately.best
-	out.bound = max(t.KeepPart*kept, m.reach((*history).inWindow, all.best, span))
-	out.owed = max(out.owed+t.Slack*capacity, t.BestPart*all.best)
-	out.real, _ = maxMin(all.asked, max(all.begun*t.RealFactor, capacity))
-	out.real = max(out.real, out.owed)
-	made := max(all.begun, capacity) * burst.Seconds() / window.Seconds()
-	out.even, out.plenty = maxMin(lately.asked, made)
-	out.goOn = goOnPart * out.even
-	owed, _ := maxMin(lately.asked, capacity*burst.Seconds()/window.Seconds())
-	out.brief = max(t.KeepPart*owed, m.reach((*history).lately, lately.best, burst))
-	out.even = max(out.even, t.BestPart*lately.best)
+	out.fairShare, out.sufficient = maxMin(inWindow.requested, capacity)
+	span := m.activeSpan()
+	var activeShare float64
+	activeShare, out.activeSufficient = maxMin(inWindow.requested, capacity*span.Seconds()/window.Seconds())
+	out.mostStarted = inWindow.mostStarted
+	out.windowLimitFloor, out.burstLimitFloor = t.ConstrainedFraction*inWindow.mostStarted, t.ConstrainedFraction*inBurst.mostStarted
+	out.windowLimit = max(t.GuaranteedFraction*activeShare, m.fairnessLimit((*history).inWindow, inWindow.mostStarted, span))
+	out.fairShare = max(out.fairShare+t.ShareSlack*capacity, t.MostStartedFraction*inWindow.mostStarted)
+	out.observedShare, _ = maxMin(inWindow.requested, max(inWindow.started*t.ObservedCapacityFactor, capacity))
+	out.observedShare = max(out.observedShare, out.fairShare)
+	burstCapacity := max(inWindow.started, capacity) * burst.Seconds() / window.Seconds()
+	out.burstShare, out.burstSufficient = maxMin(inBurst.requested, burstCapacity)
+	out.burstMinimum = burstMinimumFraction * out.burstShare
+	ratedBurstShare, _ := maxMin(inBurst.requested, capacity*burst.Seconds()/window.Seconds())
+	out.burstLimit = max(t.GuaranteedFraction*ratedBurstShare, m.fairnessLimit((*history).inBurst, inBurst.mostStarted, burst))
+	out.burstShare = max(out.burstShare, t.MostStartedFraction*inBurst.mostStarted)
 	return out
 }
 
-// span is the part of the window in which anything was asked for: engines that have idled before can't
-// have made more in it than their rate.
-func (m *Machine) span() time.Duration {
-	return min(max(m.now-m.shares.idle, burst), window)
+// activeSpan is the part of the window in which anything was requested. Engines that were idle before cannot have
+// processed more in it than their rate allows.
+func (m *Machine) activeSpan() time.Duration {
+	return min(max(m.now-m.shares.lastIdle, burst), window)
 }
 
-// reach returns the most that an account may have begun, of amounts over some time, for others that
-// are held up to have begun the part ReachPart of it, less their largest requests. Held up are those
-// that ask for as much as the best served one has begun, have begun less than the part BehindPart of
-// that, and aren't held back themselves: all their callers reach one router, say, whose processor isn't
-// enough for more. An account that 295 routers send else goes on taking what idles: on a day of the
-// heaviest load it began 2.4 times what one behind a router of 0.192 cores did. One that gets nothing at
-// all isn't waited for.
-func (m *Machine) reach(amounts func(*history) Usage, best float64, over time.Duration) float64 {
+// fairnessLimit returns the most that an account may have started within a period, so that constrained accounts have started
+// at least LimitFraction of it, less their largest requests. An account is constrained if it has requested as much as
+// the account that has started most has started, has itself started less than ConstrainedFraction of that, and is not
+// limited itself; for example, because all its callers use one router that lacks processor time. Without the limit,
+// an account served by 295 other routers goes on using idle capacity: on a day of the heaviest load it started 2.4
+// times as much as one behind a router of 0.192 cores. An account that starts nothing at all is not considered.
+func (m *Machine) fairnessLimit(usageOf func(*history) Usage, mostStarted float64, period time.Duration) float64 {
 	t := &m.config.Tuning
-	left := largestLeft * m.shares.largest * over.Seconds() / compared.Seconds()
-	out := best
+	allowance := requestAllowance * m.shares.largestCost * period.Seconds() / comparisonPeriod.Seconds()
+	out := mostStarted
 	for _, account := range m.shares.order {
 		h := m.shares.accounts[account]
-		if h.lately().Begun <= 0 || h.heldBack() {
+		if h.inBurst().Begun <= 0 || h.recentlyLimited() {
 			continue
 		}
-		u := amounts(h)
-		if u.Asked >= best && u.Begun/t.BehindPart+left < best {
-			out = min(out, u.Begun/t.ReachPart+left)
+		u := usageOf(h)
+		if u.Asked >= mostStarted && u.Begun/t.ConstrainedFraction+allowance < mostStarted {
+			out = min(out, u.Begun/t.LimitFraction+allowance)
 		}
 	}
 	return out
 }
 
-// noteHeld notes which accounts are held back as they are beyond reach: that they begin little
-// for a while isn't because anything holds them up.
-func (m *Machine) noteHeld() {
+// recordLimited records which accounts are limited, as an account that starts little for this reason is not
+// constrained.
+func (m *Machine) recordLimited() {
 	l := m.levels()
 	for _, account := range m.shares.order {
 		h := m.shares.accounts[account]
-		h.held <<= 1
-		if h.isBounded(l) {
-			h.held |= 1
+		h.limitedSamples <<= 1
+		if h.isLimited(l) {
+			h.limitedSamples |= 1
 		}
 	}
 }
 
-// compared is the time over which users compare accounts.
-const compared = 6 * time.Second
+// comparisonPeriod is the period over which users compare accounts.
+const comparisonPeriod = 6 * time.Second
 
-// largestLeft is how many of its largest requests an account may be short of: some requests
-// more or less are chance.
-const largestLeft = 3
+// requestAllowance is how many of its largest requests an account may be short of without being constrained; a
+// difference of some requests can be chance.
+const requestAllowance = 3
 
-// demand is what all accounts together have asked for and begun over some time, in tokens.
+// demand is what all accounts together have requested and started within a period, in tokens.
 type demand struct {
-	asked []float64 // by each account that has asked for anything, sorted
-	begun float64
-	best  float64 // begun by the account that has begun the most
+	requested   []float64 // of each account that has requested anything, sorted
+	started     float64
+	mostStarted float64 // most that any account has started
 }
 
-// demandOver adds up the amounts that a function returns of each account.
-func (s *shares) demandOver(amounts func(*history) Usage) demand {
+// demandOver sums up the usage that a function returns for each account.
+func (s *shares) demandOver(usageOf func(*history) Usage) demand {
 	var out demand
 	for _, account := range s.order {
-		a := amounts(s.accounts[account])
-		out.begun += a.Begun
-		out.best = max(out.best, a.Begun)
+		a := usageOf(s.accounts[account])
+		out.started += a.Begun
+		out.mostStarted = max(out.mostStarted, a.Begun)
 		if a.Asked > 0 {
-			out.asked = append(out.asked, a.Asked)
+			out.requested = append(out.requested, a.Asked)
 		}
 	}
-	slices.Sort(out.asked)
+	slices.Sort(out.requested)
 	return out
 }
 
-// maxMin returns the even share of those that ask for more than it, where
-// everybody else gets all they ask for; enough tells whether all do. asked is
-// sorted.
-func maxMin(asked []float64, capacity float64) (share float64, enough bool) {
+// maxMin returns the max-min share: accounts that request less than it get everything, and the others get the share.
+// sufficient reports whether all get everything. The requested amounts must be sorted.
+func maxMin(requested []float64, capacity float64) (share float64, sufficient bool) {
 	left := capacity
-	for i, a := range asked {
-		even := left / float64(len(asked)-i)
+	for i, a := range requested {
+		even := left / float64(len(requested)-i)
 		if a > even {
 			return even, false
 		}
@@ -148,66 +148,68 @@
 	return capacity, true
 }
 
-// standing is how an account stands to its share.
-type standing uint8
+// shareStatus classifies what an account has started relative to its share.
+type shareStatus uint8
 
 const (
-	within      standing = iota // of what it is owed
-	over                        // beyond that, or the even part of a burst; within an even part of what really goes
-	farOver                     // beyond both
-	beyondReach                 // and so far that others which ask for more can't follow
+	statusWithin  shareStatus = iota // at most fairShare
+	statusOver                       // over fairShare or burstShare, but at most observedShare
+	statusFarOver                    // over observedShare
+	statusLimited                    // over a limit that keeps constrained accounts from falling too far behind
 )
 
-// String returns the standing in a word, as lines have it.
-func (s standing) String() string {
-	return [...]string{within: "within", over: "over", farOver: "far-over", beyondReach: "beyond-reach"}[s]
+// String returns the status as it appears in log lines.
+func (s shareStatus) String() string {
+	return [...]string{statusWithin: "within", statusOver: "over", statusFarOver: "far-over", statusLimited: "beyond-reach"}[s]
 }
 
-// goOnPart is the part of its even part of a burst up to which an account goes on, whatever it has begun in the window: users
-// compare accounts second by second, and one that is refused altogether until the window has passed stops for seconds.
-const goOnPart = 0.1
+// burstMinimumFraction is the fraction of its burst share that an account may start regardless of what it has started
+// in the window. Users compare accounts by the second, and an account that is refused entirely until the window has
+// passed gets nothing for seconds.
+const burstMinimumFraction = 0.1
 
-// isBounded tells whether an account has begun as much as it may, for others that are held up to stay within reach.
-func (h *history) isBounded(l levels) bool {
-	begun, lately := h.inWindow().Begun, h.lately().Begun
-	if begun < l.best && h.heldUpHere() {
+// isLimited reports whether an account has started as much as a limit allows.
+func (h *history) isLimited(l levels) bool {
+	started, recent := h.inWindow().Begun, h.inBurst().Begun
+	if started < l.mostStarted && h.isLocallyConstrained() {
 		return false
 	}
-	return !l.spare && begun > max(l.bound, l.ahead) || !l.plenty && lately > max(l.brief, l.aheadLately)
+	return !l.activeSufficient && started > max(l.windowLimit, l.windowLimitFloor) ||
+		!l.burstSufficient && recent > max(l.burstLimit, l.burstLimitFloor)
 }
 
-// standingOf returns how an account stands.
-func (m *Machine) standingOf(account model.AccountID, l levels) standing {
+// shareStatusOf returns the share status of an account.
+func (m *Machine) shareStatusOf(account model.AccountID, l levels) shareStatus {
 	h := m.shares.accounts[account]
 	if h == nil {
-		return within
+		return statusWithin
 	}
-	begun, lately := h.inWindow().Begun, h.lately().Begun
+	started, recent := h.inWindow().Begun, h.inBurst().Begun
 	switch {
-	case lately > l.goOn && h.isBounded(l):
-		return beyondReach
-	case !l.enough && begun > l.real:
-		return farOver
-	case !l.enough && begun > l.owed, !l.plenty && lately > l.even:
-		return over
+	case recent > l.burstMinimum && h.isLimited(l):
+		return statusLimited
+	case !l.sufficient && started > l.observedShare:
+		return statusFarOver
+	case !l.sufficient && started > l.fairShare, !l.burstSufficient && recent > l.burstShare:
+		return statusOver
 	}
-	return within
+	return statusWithin
 }
 
-// hadLately returns what part of its even part of a burst an account has begun.
-func (m *Machine) hadLately(account model.AccountID, l levels) float64 {
+// recentStartedFraction returns the fraction of its burst share that an account has started.
+func (m *Machine) recentStartedFraction(account model.AccountID, l levels) float64 {
 	h := m.shares.accounts[account]
-	if h == nil || l.even <= 0 {
+	if h == nil || l.burstShare <= 0 {
 		return 0
 	}
-	return h.lately().Begun / l.even
+	return h.inBurst().Begun / l.burstShare
 }
 
-// had returns what part of the level an account has begun in the window.
-func (m *Machine) had(account model.AccountID, level float64) float64 {
+// startedFraction returns the fraction of a share that an account has started in the window.
+func (m *Machine) startedFraction(account model.AccountID, share float64) float64 {
 	h := m.shares.accounts[account]
-	if h == nil || level <= 0 {
+	if h == nil || share <= 0 {
 		return 0
 	}
-	return h.inWindow().Begun / level
+	return h.inWindow().Begun / share
 }
--- a/core/prompt/loads.go
+++ b/core/prompt/loads.go
@@ -6,23 +6,23 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Placement tells that a backend server was sent a part of a prompt.
+// Placement reports that a part of a prompt was sent to a backend server.
 type Placement struct {
 	Backend model.BackendID
 	Part    uint32
 }
 
-// maxPlacements is how many placements are told at once.
-const maxPlacements = 64
+// maxPendingPlacements is the most placements in one report.
+const maxPendingPlacements = 64
 
-// Load is what a router has newly got on a backend server.
+// Load is a router's load on a backend server.
 type Load struct {
 	Backend model.BackendID
-	Sent    uint64 // tokens sent to be read, since the report before
+	Sent    uint64 // tokens to prefill sent since the report before
 	Running uint32
 }
 
-// LoadReport is what a router tells the others at once.
+// LoadReport is a router's report to all other routers.
 type LoadReport struct {
 	Sequence   uint64 // increases with each report of a process
 	Loads      []Load
@@ -30,89 +30,88 @@
 	Accounts   []AccountIncrement
 }
 
-// peerLoad is what another router has told.
+// peerLoad is the reported load of another router.
 type peerLoad struct {
-	process  uint32
-	past     uint32     // its process before, whose reports may still be passed on; 0 for none
-	sequence uint64     // of its last report
-	at       model.Time // when it was last heard, or said to have nothing new
-	told     model.Time // when its last report came
-	runs     map[model.BackendID]uint32
-}
-
-// tell notes for the other routers that a backend server was sent a part, unless they
-// know and hold it for kept still.
-func (m *Machine) tell(s *server, part uint32) {
-	if len(m.placements) < maxPlacements && s.kept.tell(s.sent, part, s.room) {
+	process         uint32
+	previousProcess uint32     // process before, whose reports may still be relayed; 0 for none
+	sequence        uint64     // of the last report
+	lastContact     model.Time // time of the last report or of the last confirmation that nothing has changed
+	lastReport      model.Time // time of the last report
+	running         map[model.BackendID]uint32
+}
+
+// recordPlacement adds a placement to the next load report unless the other routers already consider the part as
+// cached.
+func (m *Machine) recordPlacement(s *server, part uint32) {
+	if len(m.placements) < maxPendingPlacements && s.cache.takeUnreported(s.sentTokens, part, s.cacheTokens) {
 		m.placements = append(m.placements, Placement{Backend: s.id, Part: part})
 	}
 }
 
-// settleAfter is how long after its last report a backend server is told of once more, as
-// that report may have been lost: a further one would have put it right.
-const settleAfter = time.Second
+// repeatAfter is how long after its last report a backend server is reported once more, as that report may have been
+// lost; a later report would have corrected it.
+const repeatAfter = time.Second
 
-// restateAfter is how long after its last report a backend server is told of again as long
-// as anything runs there: a router that has started, or was cut off, has missed the load reports
-// before. Most answers end sooner, so that this seldom takes a load report of its own.
-const restateAfter = 3 * time.Second
+// refreshAfter is how long after its last report a backend server with running requests is reported again. A router
+// that has started or was disconnected has missed the reports before. Most answers end sooner, so this seldom takes a
+// report of its own.
+const refreshAfter = 3 * time.Second
 
-// ReportLoads returns what the other routers don't know yet, and takes it as told; settled
-// tells whether nothing of it is to be told once more.
-func (m *Machine) ReportLoads() (report LoadReport, settled bool) {
-	settled = true
+// ReportLoads returns what has changed since the last report and marks it as reported. complete reports whether
+// nothing needs to be repeated or refreshed later.
+func (m *Machine) ReportLoads() (report LoadReport, complete bool) {
+	complete = true
 	for _, id := range m.order {
 		s := m.servers[id]
-		news := s.untold >= 1 || s.toldRunning != len(s.flights)
-		repeat := s.unsettled && m.now >= s.toldAt+settleAfter
-		restate := s.toldRunning > 0 && m.now >= s.toldAt+restateAfter
-		if news || repeat || restate {
-			report.Loads = append(report.Loads, s.told(m.now, news))
+		changed := s.unreported >= 1 || s.reportedRunning != len(s.flights)
+		repeat := s.repeatPending && m.now >= s.reportedAt+repeatAfter
+		refresh := s.reportedRunning > 0 && m.now >= s.reportedAt+refreshAfter
+		if changed || repeat || refresh {
+			report.Loads = append(report.Loads, s.takeLoad(m.now, changed))
 		}
-		settled = settled && !s.unsettled && s.toldRunning == 0
+		complete = complete && !s.repeatPending && s.reportedRunning == 0
 	}
 	report.Placements, m.placements = m.placements, nil
 	for _, account := range m.shares.order {
-		if n, isNew := m.shares.accounts[account].tell(account); isNew {
+		if n, isNew := m.shares.accounts[account].takeIncrement(account); isNew {
 			report.Accounts = append(report.Accounts, n)
 		}
 	}
-	return report, settled
+	return report, complete
 }
 
-// Restate lets the next report tell of everything that runs, and tells whether anything does.
+// Restate makes the next report include all running requests, and reports whether there are any.
 func (m *Machine) Restate() bool {
-	runs := false
+	running := false
 	for _, s := range m.servers {
-		s.toldAt = min(s.toldAt, m.now-restateAfter)
-		runs = runs || len(s.flights) > 0
+		s.reportedAt = min(s.reportedAt, m.now-refreshAfter)
+		running = running || len(s.flights) > 0
 	}
-	return runs
+	return running
 }
 
-// told returns a backend server's part of a load report and takes it as told.
-func (s *server) told(now model.Time, news bool) Load {
-	l := Load{Backend: s.id, Sent: uint64(s.untold), Running: uint32(len(s.flights))}
-	s.untold -= float64(l.Sent)
-	s.toldRunning = len(s.flights)
-	s.toldAt = now
-	s.unsettled = news
+// takeLoad returns a backend server's entry for a load report and marks it as reported.
+func (s *server) takeLoad(now model.Time, changed bool) Load {
+	l := Load{Backend: s.id, Sent: uint64(s.unreported), Running: uint32(len(s.flights))}
+	s.unreported -= float64(l.Sent)
+	s.reportedRunning = len(s.flights)
+	s.reportedAt = now
+	s.repeatPending = changed
 	return l
 }
 
-// TakeLoadReport takes what a process of another router has told of itself, and tells whether
-// it is new.
+// TakeLoadReport applies a load report of a process of another router, and reports whether it is new.
 func (m *Machine) TakeLoadReport(now model.Time, router string, process uint32, w LoadReport) bool {
 	m.now = max(m.now, now)
 	p := m.peers[router]
-	if p != nil && p.past == process {
+	if p != nil && p.previousProcess == process {
 		return false
 	}
 	if p == nil || p.process != process {
 		m.ForgetRouter(router)
-		next := &peerLoad{process: process, runs: map[model.BackendID]uint32{}}
+		next := &peerLoad{process: process, running: map[model.BackendID]uint32{}}
 		if p != nil {
-			next.past = p.process
+			next.previousProcess = p.process
 		}
 		p = next
 		m.peers[router] = p
@@ -121,49 +120,50 @@
 		return false
 	}
 	p.sequence = w.Sequence
-	p.at, p.told = m.now, m.now
-	m.endUnheard()
+	p.lastContact, p.lastReport = m.now, m.now
+	m.endStartupAssumption()
 	for _, l := range w.Loads {
 		if s := m.servers[l.Backend]; s != nil {
-			s.sentElsewhere(m.now, float64(l.Sent))
-			s.remote += int(l.Running) - int(p.runs[l.Backend])
-			p.runs[l.Backend] = l.Running
+			s.addRemote(m.now, float64(l.Sent))
+			s.remoteRunning += int(l.Running) - int(p.running[l.Backend])
+			p.running[l.Backend] = l.Running
 		}
 	}
 	for _, n := range w.Placements {
 		if s := m.servers[n.Backend]; s != nil {
-			s.kept.touch(s.sent, n.Part, s.room)
+			s.cache.touch(s.sentTokens, n.Part, s.cacheTokens)
 		}
 	}
 	for _, n := range w.Accounts {
-		m.shares.of(n.Account).now.add(Usage{float64(n.Asked), float64(n.Begun)})
+		m.shares.historyOf(n.Account).total.add(Usage{float64(n.Asked), float64(n.Begun)})
 	}
 	return true
 }
 
-// pastKept is how long reports of a process are left out after others came that made it the one before.
-const pastKept = time.Second
+// previousProcessTTL is how long after the last accepted report a process that is taken for the previous one is
+// ignored.
+const previousProcessTTL = time.Second
 
-// Readmit lets a router's process be heard that was taken for the one before, as a late report
-// of that one came after its first; the caller knows that it is the present one.
+// Readmit accepts a router's process again that was taken for the previous one because a delayed report of the
+// previous process arrived after its first. The caller must have verified that it is the current process.
 func (m *Machine) Readmit(now model.Time, router string, process uint32) {
-	if p := m.peers[router]; p != nil && p.past == process && now >= p.told+pastKept {
+	if p := m.peers[router]; p != nil && p.previousProcess == process && now >= p.lastReport+previousProcessTTL {
 		m.ForgetRouter(router)
 	}
 }
 
-// NothingNew takes that a router has nothing to tell beyond what it told before.
+// NothingNew records that nothing has changed since a router's last report.
 func (m *Machine) NothingNew(now model.Time, router string) {
 	m.now = max(m.now, now)
 	p := m.peers[router]
 	if p == nil {
-		p = &peerLoad{runs: map[model.BackendID]uint32{}}
+		p = &peerLoad{running: map[model.BackendID]uint32{}}
 		m.peers[router] = p
 	}
-	p.at = m.now
+	p.lastContact = m.now
 }
 
-// Running returns how many requests run at a backend server, as far as is known here.
+// Running returns the number of requests running at a backend server, as far as reported.
 func (m *Machine) Running(id model.BackendID) int {
 	if s := m.servers[id]; s != nil {
 		return s.running()
@@ -171,78 +171,76 @@
 	return 0
 }
 
-// oldestReport returns how old the oldest knowledge of another router's load is.
-func (m *Machine) oldestReport() time.Duration {
+// oldestReportAge returns the time since the last contact with the router that was contacted the longest ago.
+func (m *Machine) oldestReportAge() time.Duration {
 	age := time.Duration(0)
 	for _, p := range m.peers {
-		age = max(age, m.now-p.at)
+		age = max(age, m.now-p.lastContact)
 	}
 	return age
 }
 
-// MeanAge returns how old the last load reports of the other routers are in the mean; it is
-// measured by a benchmark of package core.
+// MeanAge returns the mean time since the last contact with the other routers. A benchmark of package core uses it.
 func (m *Machine) MeanAge() time.Duration {
 	if len(m.peers) == 0 {
 		return 0
 	}
 	sum := time.Duration(0)
 	for _, p := range m.peers {
-		sum += m.now - p.at
+		sum += m.now - p.lastContact
 	}
 	return sum / time.Duration(len(m.peers))
 }
 
-// Heard is what was last heard of another router.
+// Heard is the state of the last contact with another router.
 type Heard struct {
 	At       model.Time
 	Process  uint32
 	Sequence uint64 // of its last load report, 0 for none
 }
 
-// HeardOf returns what was last heard of a router.
+// HeardOf returns the state of the last contact with a router.
 func (m *Machine) HeardOf(router string) Heard {
 	p := m.peers[router]
 	if p == nil {
 		return Heard{}
 	}
-	return Heard{At: p.at, Process: p.process, Sequence: p.sequence}
+	return Heard{At: p.lastContact, Process: p.process, Sequence: p.sequence}
 }
 
-// Knows tells whether the last report of a router was of a certain process.
+// Knows reports whether the last report of a router came from the given process.
 func (m *Machine) Knows(router string, process uint32) bool {
 	p := m.peers[router]
 	return p != nil && p.process == process
 }
 
-// unheardKept is how long what a router has running is reckoned with after its last report:
-// it tells of it again within restateAfter, so that one which doesn't has ended, though the
-// notice of it hasn't come.
-const unheardKept = 3 * restateAfter
+// runningTTL is how long a router's running requests are counted after its last report. They are reported again
+// within refreshAfter; if not, they have ended and the report of that was lost.
+const runningTTL = 3 * refreshAfter
 
-// forgetUnheard takes back what routers have running that aren't heard any more.
-func (m *Machine) forgetUnheard() {
+// expireRunning removes the running requests of routers whose last report is too old.
+func (m *Machine) expireRunning() {
 	for _, p := range m.peers {
-		if len(p.runs) > 0 && m.now > p.told+unheardKept {
-			m.takeBack(p)
+		if len(p.running) > 0 && m.now > p.lastReport+runningTTL {
+			m.removeRunning(p)
 		}
 	}
 }
 
-// ForgetRouter takes back what a router that is gone had running.
+// ForgetRouter removes a router and its running requests.
 func (m *Machine) ForgetRouter(router string) {
 	if p := m.peers[router]; p != nil {
-		m.takeBack(p)
+		m.removeRunning(p)
 		delete(m.peers, router)
 	}
 }
 
-// takeBack takes back what another router had running.
-func (m *Machine) takeBack(p *peerLoad) {
-	for id, running := range p.runs {
+// removeRunning removes the running requests of another router.
+func (m *Machine) removeRunning(p *peerLoad) {
+	for id, running := range p.running {
 		if s := m.servers[id]; s != nil {
-			s.remote = max(s.remote-int(running), 0)
+			s.remoteRunning = max(s.remoteRunning-int(running), 0)
 		}
 	}
-	clear(p.runs)
+	clear(p.running)
 }
--- a/core/prompt/place.go
+++ b/core/prompt/place.go
@@ -9,139 +9,139 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// place is a backend server for a request, and what is expected there.
+// place is a candidate backend server for a request, with the expected load and delay.
 type place struct {
-	server  *server
-	delay   time.Duration // until the answer begins
-	unread  float64       // tokens of the prompt to be read
-	backlog float64       // tokens to be read before it
-	ahead   time.Duration // how long that takes
-	score   float64       // seconds; the least is the best
-	from    *server       // from which parts are copied, nil for none
-	copied  float64       // tokens
-	soonest time.Duration // the least delay of all places that were looked at
+	server        *server
+	delay         time.Duration // until the answer begins
+	prefillTokens float64       // tokens of the prompt to prefill
+	backlog       float64       // tokens to prefill before the prompt
+	queueDelay    time.Duration // time to prefill the backlog
+	score         float64       // in seconds; the lowest is the best
+	copySource    *server       // backend server from which cached parts are copied, nil for none
+	copiedTokens  float64       // number of tokens copied
+	minDelay      time.Duration // least delay of all places evaluated
 }
 
-// best returns the best place for a request; ok is false where there is none.
+// best returns the best place for a request. The result is false if there is none.
 func (m *Machine) best(r *request) (place, bool) {
 	if !m.config.Pools[r.Pool].Engine {
 		return m.bestService(r)
 	}
-	if r.chosenFor != m.version {
+	if r.candidatesVersion != m.version {
 		r.candidates = m.candidates(r)
-		r.chosenFor = m.version
+		r.candidatesVersion = m.version
 	}
 	var best place
-	var soonest time.Duration
+	var minDelay time.Duration
 	found := false
 	r.home = m.homeOf(r)
 	holder := m.holderOf(r)
 	for rank, id := range r.candidates {
 		s := m.servers[id]
-		if s == nil || !m.takes(s) || slices.Contains(r.Except, id) {
+		if s == nil || !m.accepts(s) || slices.Contains(r.Except, id) {
 			continue
 		}
 		p := m.placeAt(s, r, holder)
 		p.score += m.config.Tuning.RankPenalty.Seconds() * float64(min(rank, maxRank))
-		if !found || p.delay < soonest {
-			soonest = p.delay
+		if !found || p.delay < minDelay {
+			minDelay = p.delay
 		}
 		if !found || p.score < best.score {
 			best, found = p, true
 		}
 	}
-	best.soonest = soonest
+	best.minDelay = minDelay
 	return best, found
 }
 
-// placeAt returns what is expected of a request at a backend server.
+// placeAt returns the expected load and delay of a request at a backend server.
 func (m *Machine) placeAt(s *server, r *request, holder *server) place {
-	p := place{server: s, backlog: s.backlog(m.now), unread: m.unreadAt(s, r)}
-	p.ahead = s.reading(p.backlog)
-	m.copyFrom(&p, holder, r)
+	p := place{server: s, backlog: s.backlog(m.now), prefillTokens: m.expectedPrefill(s, r)}
+	p.queueDelay = s.prefillTime(p.backlog)
+	m.planCopy(&p, holder, r)
 	if over := s.running() - s.Slots; s.Slots > 0 && over >= 0 {
-		p.ahead += time.Duration(over+1) * m.config.Tuning.SlotDelay
+		p.queueDelay += time.Duration(over+1) * m.config.Tuning.SlotDelay
 	}
-	copying := p.copying()
-	p.delay = s.pace.base + p.ahead + s.reading(p.unread) + copying
-	extra := (s.reading(p.unread) + copying).Seconds() * m.config.Tuning.ReadWeight
-	p.score = p.delay.Seconds() + extra + s.health.failing(m.now)*m.config.Tuning.FailureWeight
+	copyTime := p.copyTime()
+	p.delay = s.latency.base + p.queueDelay + s.prefillTime(p.prefillTokens) + copyTime
+	extra := (s.prefillTime(p.prefillTokens) + copyTime).Seconds() * m.config.Tuning.PrefillWeight
+	p.score = p.delay.Seconds() + extra + s.health.failureRate(m.now)*m.config.Tuning.FailurePenalty
 	if !s.Near {
-		p.score += m.config.Tuning.FarPenalty.Seconds()
+		p.score += m.config.Tuning.CrossHallPenalty.Seconds()
 	}
 	return p
 }
 
 const (
-	// minCopied is the least number of tokens that is worth a copy.
-	minCopied = 1000
-	// farCopy is how much longer a copy takes between data halls.
-	farCopy = 2
+	// minCopiedTokens is the least number of tokens for which a copy is worthwhile.
+	minCopiedTokens = 1000
+	// crossHallCopyFactor is how much longer a copy between data halls takes.
+	crossHallCopyFactor = 2
 )
 
-// holderOf returns the backend server among the candidates that keeps most of a
-// request's prompt, nil where they can't copy. One that is leaving will do.
+// holderOf returns the candidate that caches most of a request's prompt, nil if the pool does not support copies. It
+// may be a backend server that is leaving.
 func (m *Machine) holderOf(r *request) *server {
 	if m.config.Pools[r.Pool].CopyRate <= 0 {
 		return nil
 	}
 	var best *server
-	least := float64(r.Prompt.Tokens)
+	minUncached := float64(r.Prompt.Tokens)
 	for _, id := range r.candidates {
 		s := m.servers[id]
-		if s == nil || s.health.out(m.now) {
+		if s == nil || s.health.excluded(m.now) {
 			continue
 		}
-		if unread := m.unreadAt(s, r); unread < least {
-			best, least = s, unread
+		if uncached := m.expectedPrefill(s, r); uncached < minUncached {
+			best, minUncached = s, uncached
 		}
 	}
 	return best
 }
 
-// copyFrom lets a place copy what another backend server keeps of a prompt.
-func (m *Machine) copyFrom(p *place, holder *server, r *request) {
+// planCopy makes a place copy the parts of a prompt that another backend server caches.
+func (m *Machine) planCopy(p *place, holder *server, r *request) {
 	if holder == nil || holder == p.server {
 		return
 	}
-	unread := m.unreadAt(holder, r)
-	if p.unread-unread < minCopied {
+	uncached := m.expectedPrefill(holder, r)
+	if p.prefillTokens-uncached < minCopiedTokens {
 		return
 	}
-	p.from, p.copied, p.unread = holder, p.unread-unread, unread
+	p.copySource, p.copiedTokens, p.prefillTokens = holder, p.prefillTokens-uncached, uncached
 }
 
-// copying returns how long the copy takes.
-func (p *place) copying() time.Duration {
-	if p.from == nil {
+// copyTime returns how long the copy takes.
+func (p *place) copyTime() time.Duration {
+	if p.copySource == nil {
 		return 0
 	}
-	seconds := p.copied / p.server.copyRate
-	if p.from.Hall != p.server.Hall {
-		seconds *= farCopy
+	seconds := p.copiedTokens / p.server.copyRate
+	if p.copySource.Hall != p.server.Hall {
+		seconds *= crossHallCopyFactor
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
 const (
-	// maxCandidates is how many backend servers are looked at for a request,
-	// however many there are: the first ones by rendezvous hashing, those that
-	// are known to keep its shared parts, and some by chance.
+	// maxCandidates is the number of backend servers evaluated for a request, regardless of the pool's size: the
+	// first maxRanked by rendezvous hashing, up to maxHolders others known to cache its shared parts, and random
+	// ones.
 	maxCandidates = 24
-	ranked        = 12
-	holders       = 6
-	// maxRank bounds what a place in the order counts.
+	maxRanked     = 12
+	maxHolders    = 6
+	// maxRank limits the rank for which a penalty is added.
 	maxRank = 8
 )
 
-// candidates returns the backend servers to be looked at for a request, in the
-// order of rendezvous hashing over its shared parts.
+// candidates returns the backend servers to evaluate for a request, in the order of rendezvous hashing over its
+// shared parts.
 func (m *Machine) candidates(r *request) []model.BackendID {
 	all := m.byPool[r.Pool]
 	shared, ok := sharedKey(&r.Prompt)
-	var order []weighed
+	var order []weightedBackend
 	if ok {
-		order = m.weigh(all, shared)
+		order = m.weightsOf(all, shared)
 	}
 	if len(all) <= maxCandidates {
 		if ok {
@@ -149,67 +149,67 @@
 		}
 		return all
 	}
-	out := slices.Clone(all[:ranked])
+	out := slices.Clone(all[:maxRanked])
 	switch {
 	case ok && m.config.HallHomes:
 		out = m.byHallAndHolders(order, partKey(shared))
 	case ok:
 		out = m.rankedAndHolders(order, partKey(shared))
 	}
-	out = append(out, m.ownCold(r.Pool)...)
+	out = append(out, m.assignedCold(r.Pool)...)
 	for len(out) < maxCandidates {
 		out = append(out, all[m.random.IntN(len(all))])
 	}
 	return out
 }
 
-// weighed is a backend server with its weight for a prompt.
-type weighed struct {
+// weightedBackend is a backend server with its rendezvous hashing weight for a prompt.
+type weightedBackend struct {
 	id     model.BackendID
 	weight uint64
 }
 
-// weigh returns the weights of backend servers under rendezvous hashing.
-func (m *Machine) weigh(all []model.BackendID, shared uint64) []weighed {
+// weightsOf returns the weights of backend servers under rendezvous hashing.
+func (m *Machine) weightsOf(all []model.BackendID, shared uint64) []weightedBackend {
 	subject := strconv.FormatUint(shared, 16)
-	out := make([]weighed, 0, len(all))
+	out := make([]weightedBackend, 0, len(all))
 	for _, id := range all {
-		out = append(out, weighed{id, model.Rendezvous(m.servers[id].Name, subject)})
+		out = append(out, weightedBackend{id, model.Rendezvous(m.servers[id].Name, subject)})
 	}
 	return out
 }
 
-// rankedAndHolders returns the first backend servers by rendezvous hashing, and then the
-// first of the others that are known to keep a part.
-func (m *Machine) rankedAndHolders(order []weighed, part uint32) []model.BackendID {
-	first := heaviest(order, ranked)
+// rankedAndHolders returns the first backend servers by rendezvous hashing, followed by the first of the others that
+// are known to cache a part.
+func (m *Machine) rankedAndHolders(order []weightedBackend, part uint32) []model.BackendID {
+	first := heaviest(order, maxRanked)
 	last := first[len(first)-1].weight
-	var keep []weighed
+	var caching []weightedBackend
 	for _, w := range order {
-		if s := m.servers[w.id]; w.weight < last && s.kept.has(s.sent, part, s.room) {
-			keep = append(keep, w)
+		if s := m.servers[w.id]; w.weight < last && s.cache.has(s.sentTokens, part, s.cacheTokens) {
+			caching = append(caching, w)
 		}
 	}
-	return append(idsOf(first), idsOf(heaviest(keep, holders))...)
+	return append(idsOf(first), idsOf(heaviest(caching, maxHolders))...)
 }
 
-// heaviest returns the n heaviest in order. All are looked at for every request, and few
-// taken: at 320 backend servers the choice takes 36 us, and 56 where they are all sorted
+// heaviest returns the n backend servers with the largest weights in order. It runs over the whole pool for every
+// request and selects few: with 320 backend servers this takes 36 us, and sorting all of them 56 us
 // (BenchmarkCandidates).
-func heaviest(from []weighed, n int) []weighed {
-	out := make([]weighed, 0, n+1)
+func heaviest(from []weightedBackend, n int) []weightedBackend {
+	out := make([]weightedBackend, 0, n+1)
 	for _, w := range from {
 		if len(out) == n && (n == 0 || w.weight <= out[n-1].weight) {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(out, w, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
+		at, _ := slices.BinarySearchFunc(out, w, func(a, b weightedBackend) int { return cmp.Compare(b.weight, a.weight) })
 		out = slices.Insert(out, at, w)
 		out = out[:min(len(out), n)]
 	}
 	return out
 }
 
-func idsOf(from []weighed) []model.BackendID {
+func idsOf(from []weightedBackend) []model.BackendID {
 	out := make([]model.BackendID, 0, maxCandidates)
 	for _, w := range from {
 		out = append(out, w.id)
--- a/core/prompt/prompt.go
+++ b/core/prompt/prompt.go
@@ -1,51 +1,47 @@
-// Package prompt decides where requests go whose cost is mostly the reading of
-// their prompts, when they go, and which are refused.
+// Package prompt decides where and when requests are dispatched whose cost is mostly the prefill of their prompts,
+// and which requests are refused.
 //
 // # The model of a backend server
 //
-// An engine reads prompts one after the other at a steady rate, between the
-// tokens of what it already answers. Parts of prompts that it has kept aren't
-// read again, as long as all parts before them are kept too. So the state that
-// counts is its backlog: the tokens sent to it that it hasn't read yet.
+// An engine prefills prompts one after the other at a steady rate, between the output tokens of the answers it is
+// generating. Cached parts of a prompt are not prefilled again if all parts before them are cached as well. The
+// relevant state is therefore the backlog: the tokens sent to the engine that it has not prefilled yet.
 //
-// Each router counts the tokens sent to each backend server, its own at once and
-// the other routers' from their load reports, which say what is new since the report
-// before. It estimates how many of them have been read: the estimate grows at the
-// engine's rate, and each first token of an answer corrects it. A request that has
-// begun shows that all that was sent before it has been read; one that hasn't
-// shows the contrary. The correction finds slow and silent backend servers as well.
+// Each router counts the tokens sent to each backend server: its own at once, those of other routers from their load
+// reports, which contain the changes since the report before. It estimates how many of them have been prefilled. The
+// estimate grows at the engine's rate, and the first token of each answer corrects it: a request that has begun shows
+// that everything sent before it has been prefilled, and a late one shows the contrary. The correction also detects
+// slow and silent backend servers.
 //
-// How soon an idle engine begins its answer and how fast it reads are measured, for
-// each pool, on the answers to requests that nothing seemed to be ahead of.
+// The time that an idle engine takes to begin an answer and its prefill rate are measured for each pool, from the
+// answers to requests that apparently had nothing queued ahead of them.
 //
 // # The choice of a backend server
 //
-// The one where the answer begins soonest, with the reading of the prompt counted
-// more than once, as it takes capacity from others. Where none is known to keep
-// the prompt's shared parts, rendezvous hashing over them lets all routers choose
-// alike. In a large fleet a router hears little of what the others have sent where,
-// so it learns from its own requests how often the first choice, their home, has
-// kept what this router never sent there, and expects as much of it from then on.
+// A request goes to the backend server where its answer begins soonest. The prefill time of its prompt has an
+// additional weight, as it uses capacity that others need. If no backend server is known to cache the shared parts of
+// the prompt, rendezvous hashing over these parts makes all routers choose the same one, the home of the prompt. In a
+// large fleet a router does not receive all placements of the others. It therefore estimates from its own requests
+// how often a home has cached parts that this router never sent there, and expects the same fraction of later prompts
+// to be cached.
 //
-// In a large fleet each data hall can have a home of its own for each shared part: what is
-// shared by many is then read once in each, and most requests needn't leave their data hall.
+// In a large fleet, each data hall can have a home of its own for each shared part. Widely shared parts are then
+// prefilled once in each data hall, and most requests do not leave their data hall.
 //
 // # Accounts
 //
-// Over a window of some seconds each account may begin its max-min share of what
-// the engines make, counted over the fleet from the routers' load reports: whoever asks for less
-// than an even part gets it all, and what is left is divided evenly among the others. The
-// same holds for the last second, so that an account that is sent by many routers can't
-// fill the engines before the others' requests come. Work within the share goes first,
-// by what part of the share its account has had; work beyond it goes only where
-// capacity would idle: where its answer is expected little later than an idle
-// engine would begin it.
+// Within a window of some seconds, each account may start its max-min share of the engines' capacity, computed over
+// the fleet from the routers' load reports: an account that requests less than an even share gets everything, and the
+// rest is divided evenly among the others. The same applies to a shorter burst period, so that an account served by
+// many routers cannot fill the engines before the requests of others arrive. Requests within the share are served
+// first, ordered by the fraction of the share that their account has started. Requests over the share only use idle
+// capacity: their answers must be expected little later than on an idle engine.
 //
-// # Waiting and refusing
+// # Waiting and refusals
 //
-// A request waits in the router for as long as it can be hoped to begin in time,
-// and then is refused, with the time until there will be room. It is refused
-// early, so that its caller can still be served in time when it asks again.
+// A request waits in the router as long as it can be expected to begin in time. It is then refused with the time
+// until capacity is expected to be available. Refusals are early, so that the caller can still be served in time when
+// it retries.
 package prompt
 
 import (
@@ -56,31 +52,29 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Config is what the decisions rest on.
+// Config is the configuration of the state machine.
 type Config struct {
 	Pools    map[model.PoolID]Pool
 	Backends map[model.BackendID]Backend
-	Accounts map[model.AccountID]int // the priority of each
-	// TokensPerSecond is what all engines make together, 0 where unknown.
+	Accounts map[model.AccountID]int // priority of each account
+	// TokensPerSecond is the capacity of all engines together, 0 if unknown.
 	TokensPerSecond float64
-	// HallHomes lets prompts that share parts have a home in each data hall, and not one in the
-	// fleet.
+	// HallHomes gives prompts with shared parts one home in each data hall instead of one in the fleet.
 	HallHomes bool
 	Tuning    Tuning
 }
 
-// Pool is a set of backend servers that can stand in for one another.
+// Pool is a set of interchangeable backend servers.
 type Pool struct {
-	// Engine tells whether its backend servers read prompts.
+	// Engine reports whether its backend servers are engines, which prefill prompts.
 	Engine bool
-	// Memory is what one of them keeps, in tokens.
+	// Memory is the cache size of each backend server, in tokens.
 	Memory int
-	// CopyRate is how many tokens a second one copies of what another keeps, 0
-	// where they can't.
+	// CopyRate is the rate at which a backend server copies what another caches, in tokens per second; 0 if copies
+	// are not supported.
 	CopyRate float64
-	// ColdBound is how many requests a backend server may get in any second from all
-	// routers while it is cold, 0 for no bound; ColdFor is how long after its start that
-	// lasts.
+	// ColdBound is how many requests a cold backend server may receive in any second from all routers, 0 for no
+	// limit. ColdFor is how long after its start a backend server is cold.
 	ColdBound int
 	ColdFor   time.Duration
 }
@@ -93,82 +87,82 @@
 	Hall    string
 	Slots   int
 	Leaving bool
-	// Evacuated tells that its data hall is evacuated.
+	// Evacuated reports whether its data hall is evacuated.
 	Evacuated bool
-	// Cold tells that it is slow from its start, as far as it has announced.
+	// Cold reports whether it has announced that it is slow after its start.
 	Cold bool
 }
 
-// Machine is the state machine. It does no I/O and reads no clock.
+// Machine is the state machine of the decisions. It does no I/O and reads no clock.
 type Machine struct {
-	now        model.Time
-	config     Config
-	random     *rand.Rand
-	routers    int // that are live, this one included
-	servers    map[model.BackendID]*server
-	order      []model.BackendID // of servers
-	byPool     map[model.PoolID][]model.BackendID
-	version    int        // of the configuration here
-	waiting    []*request // by arrival
-	requests   map[model.RequestID]*request
-	shares     shares
-	outputs    map[uint32]*mean // expected output by route
-	peers      map[string]*peerLoad
-	placements []Placement
-	actions    []Action
-	passed     model.Time // when all that waits was last gone over
-	homes      homes
-	paces      map[model.PoolID]*pace
-	works      map[model.PoolID]*mean // how long a request of a plain service takes
-	unheard    unheard
-	fleet      fleet
-	usable     float64 // part of the engines that aren't evacuated
-	notices    *notice.Book
-	returns    map[model.PoolID]model.Time // when the last caller was asked back that found all resting
+	now            model.Time
+	config         Config
+	random         *rand.Rand
+	routers        int // live routers, this one included
+	servers        map[model.BackendID]*server
+	order          []model.BackendID // sorted IDs of servers
+	byPool         map[model.PoolID][]model.BackendID
+	version        int        // increases with each configuration or list of routers
+	waiting        []*request // in order of arrival
+	requests       map[model.RequestID]*request
+	shares         shares
+	outputs        map[uint32]*ewma // expected output tokens by route
+	peers          map[string]*peerLoad
+	placements     []Placement
+	actions        []Action
+	lastPass       model.Time // time of the last pass over the waiting requests
+	homes          homeStats
+	latencies      map[model.PoolID]*latencyModel
+	serviceTimes   map[model.PoolID]*ewma // time per request of plain services
+	startup        startupAssumption
+	coldAssignment coldAssignment
+	usableFraction float64 // fraction of the engines that are not evacuated
+	notices        *notice.Book
+	nextRetry      map[model.PoolID]model.Time // earliest retry time for the next caller refused with Resting
 }
 
-// request is a request that waits or runs.
+// request is a waiting or running request.
 type request struct {
 	Request
 	arrived  model.Time
 	deadline model.Time
-	cost     float64 // tokens, as shares count them
-	server   *server // that it was sent to
+	cost     float64 // in tokens, as counted towards shares
+	server   *server // the backend server it was dispatched to, nil before
 	flight   *flight
 	began    bool
-	draw     float64 // by chance, from 0 to 1
+	uniform  float64 // random, from 0 to 1
 
-	home       *server           // to which routers that know nothing send it
-	candidates []model.BackendID // to look at, in order
-	chosenFor  int               // version of the configuration
+	home              *server           // where routers without placements dispatch it
+	candidates        []model.BackendID // to evaluate, in order
+	candidatesVersion int               // version for which candidates was computed
 }
 
-// New returns the machine of a router that has just started.
+// New returns the state machine of a router that has just started.
 func New(now model.Time, random *rand.Rand) *Machine {
 	return &Machine{
-		now: now, random: random, routers: 1, passed: now - recheck,
-		servers:  map[model.BackendID]*server{},
-		requests: map[model.RequestID]*request{},
-		shares:   newShares(),
-		outputs:  map[uint32]*mean{},
-		peers:    map[string]*peerLoad{},
-		paces:    map[model.PoolID]*pace{},
-		works:    map[model.PoolID]*mean{},
-		fleet:    fleet{began: now},
-		usable:   1,
-		notices:  notice.New(),
-		returns:  map[model.PoolID]model.Time{},
+		now: now, random: random, routers: 1, lastPass: now - passInterval,
+		servers:        map[model.BackendID]*server{},
+		requests:       map[model.RequestID]*request{},
+		shares:         newShares(),
+		outputs:        map[uint32]*ewma{},
+		peers:          map[string]*peerLoad{},
+		latencies:      map[model.PoolID]*latencyModel{},
+		serviceTimes:   map[model.PoolID]*ewma{},
+		coldAssignment: coldAssignment{started: now},
+		usableFraction: 1,
+		notices:        notice.New(),
+		nextRetry:      map[model.PoolID]model.Time{},
 	}
 }
 
-// Configure puts a configuration in force.
+// Configure applies a configuration.
 func (m *Machine) Configure(now model.Time, c Config) {
 	m.now = max(m.now, now)
 	m.config = c
 	m.config.Tuning = c.Tuning.withDefaults()
 	for id := range m.servers {
 		if _, known := c.Backends[id]; !known {
-			m.servers[id].gone = true
+			m.servers[id].removed = true
 			delete(m.servers, id)
 		}
 	}
@@ -184,9 +178,9 @@
 			evacuated++
 		}
 	}
-	m.usable = 1
+	m.usableFraction = 1
 	if all > 0 {
-		m.usable = float64(all-evacuated) / float64(all)
+		m.usableFraction = float64(all-evacuated) / float64(all)
 	}
 	for id, b := range c.Backends {
 		s := m.servers[id]
@@ -198,12 +192,12 @@
 		s.Backend = b
 		s.engine = c.Pools[b.Pool].Engine
 		s.copyRate = c.Pools[b.Pool].CopyRate
-		s.room = m.config.Tuning.KeptPart * float64(c.Pools[b.Pool].Memory)
-		s.pace = m.paceOf(b.Pool)
-		s.pace.expect(m.config.Tuning.rateOf(c.TokensPerSecond, engines[b.Pool]))
+		s.cacheTokens = m.config.Tuning.CacheFraction * float64(c.Pools[b.Pool].Memory)
+		s.latency = m.latencyOf(b.Pool)
+		s.latency.setInitialRate(m.config.Tuning.rateOf(c.TokensPerSecond, engines[b.Pool]))
 	}
 	m.order = sortedIDs(m.servers)
-	m.shareColdOut()
+	m.assignCold()
 	m.version++
 	m.byPool = map[model.PoolID][]model.BackendID{}
 	for _, id := range m.order {
@@ -212,30 +206,30 @@
 	}
 }
 
-// paceOf returns what is known of how soon the engines of a pool begin their answers.
-func (m *Machine) paceOf(pool model.PoolID) *pace {
-	if m.paces[pool] == nil {
-		m.paces[pool] = newPace()
+// latencyOf returns the latency model of a pool.
+func (m *Machine) latencyOf(pool model.PoolID) *latencyModel {
+	if m.latencies[pool] == nil {
+		m.latencies[pool] = newLatencyModel()
 	}
-	return m.paces[pool]
+	return m.latencies[pool]
 }
 
-// fade lets some of what this router has learned of backend servers fade. What keeps it
-// from sending to them must, as only requests that are sent show that it holds no more.
-func (m *Machine) fade(passed time.Duration) {
-	m.shares.fadeLargest(passed)
-	for _, p := range m.paces {
-		p.fade(passed)
+// decay reduces the weight of earlier observations of backend servers. This includes observations that keep this
+// router from dispatching to them, as only dispatched requests would show that these no longer apply.
+func (m *Machine) decay(elapsed time.Duration) {
+	m.shares.decayLargestCost(elapsed)
+	for _, p := range m.latencies {
+		p.decay(elapsed)
 	}
 	for _, s := range m.servers {
-		s.health.fade(passed)
+		s.health.decay(elapsed)
 	}
 }
 
-// Heed lets the machine heed what backend servers say of themselves, as a book holds it.
+// Heed sets the book of notices that backend servers have sent about themselves.
 func (m *Machine) Heed(notices *notice.Book) { m.notices = notices }
 
-// SetRouters tells how many routers are live, this one included.
+// SetRouters sets the number of live routers, this one included.
 func (m *Machine) SetRouters(n int) { m.routers = max(n, 1) }
 
 // Take returns the actions since the last call.
@@ -245,19 +239,19 @@
 	return out
 }
 
-// Has tells whether a request waits or runs here.
+// Has reports whether a request is waiting or running.
 func (m *Machine) Has(id model.RequestID) bool { return m.requests[id] != nil }
 
-// Idle tells whether no request waits or runs here.
+// Idle reports whether no request is waiting or running.
 func (m *Machine) Idle() bool { return len(m.requests) == 0 }
 
-// Arrive takes a request.
+// Arrive adds a new request.
 func (m *Machine) Arrive(now model.Time, in Request) {
 	m.now = max(m.now, now)
-	r := &request{Request: in, arrived: m.now, deadline: m.now + in.Wait, draw: m.random.Float64()}
+	r := &request{Request: in, arrived: m.now, deadline: m.now + in.Wait, uniform: m.random.Float64()}
 	r.cost = m.CostOf(&in)
 	if m.config.Pools[in.Pool].Engine {
-		m.shares.largest = max(m.shares.largest, r.cost)
+		m.shares.largestCost = max(m.shares.largestCost, r.cost)
 	}
 	m.requests[in.ID] = r
 	if !m.makeRoom(r) {
@@ -265,20 +259,20 @@
 	}
 	m.waiting = append(m.waiting, r)
 	if len(m.waiting) == 1 {
-		m.consider(r, m.levels())
-		m.passed = m.now
+		m.processRequest(r, m.levels())
+		m.lastPass = m.now
 		return
 	}
-	m.decide()
+	m.processQueue()
 }
 
-// Sent tells whether a request was sent to a backend server.
+// Sent reports whether a request was dispatched and is still running.
 func (m *Machine) Sent(id model.RequestID) bool {
 	r := m.requests[id]
 	return r != nil && r.server != nil
 }
 
-// Cost returns what a request that was dispatched costs its account, in tokens.
+// Cost returns what a dispatched request costs its account, in tokens.
 func (m *Machine) Cost(id model.RequestID) float64 {
 	if r := m.requests[id]; r != nil {
 		return r.cost
@@ -286,7 +280,7 @@
 	return 0
 }
 
-// Began tells that a request's answer has begun.
+// Began records that the answer to a request has begun.
 func (m *Machine) Began(now model.Time, id model.RequestID) {
 	m.now = max(m.now, now)
 	r := m.requests[id]
@@ -295,15 +289,15 @@
 	}
 	r.began = true
 	s := r.server
-	if s.engine && s.undisturbed(r.flight) {
-		s.pace.learn(m.now-r.flight.sent-r.Lag, r.flight, s.health.slowness())
+	if s.engine && s.isUncontended(r.flight) {
+		s.latency.observe(m.now-r.flight.sent-r.Lag, r.flight, s.health.slowness())
 	}
-	s.began(m.now, r.flight)
-	m.homes.learn(m.now-r.flight.sent, r.flight)
-	m.decide()
+	s.recordBegin(m.now, r.flight)
+	m.homes.observe(m.now-r.flight.sent, r.flight)
+	m.processQueue()
 }
 
-// Finish ends a request that was dispatched; output is what it made, in tokens.
+// Finish removes a request; output is the number of output tokens generated.
 func (m *Machine) Finish(now model.Time, id model.RequestID, ending Ending, output float64) {
 	m.now = max(m.now, now)
 	r := m.requests[id]
@@ -313,43 +307,43 @@
 	delete(m.requests, id)
 	if r.server == nil {
 		m.removeWaiting(r)
-		m.decide()
+		m.processQueue()
 		return
 	}
 	if ending == Done {
-		m.learnWork(r.server, r.flight)
+		m.recordServiceTime(r.server, r.flight)
 	}
-	r.server.finished(m.now, r.flight, m.judged(r, ending), m.random)
+	r.server.recordEnd(m.now, r.flight, m.effectiveEnding(r, ending), m.random)
 	if ending == Done && output > 0 {
 		if m.outputs[r.Route] == nil {
-			m.outputs[r.Route] = &mean{value: output}
+			m.outputs[r.Route] = &ewma{value: output}
 		}
 		m.outputs[r.Route].add(output)
 	}
-	m.decide()
+	m.processQueue()
 }
 
-// silence is how many times its objective a request must have gone without any
-// answer for its caller's leaving to tell against the backend server.
-const silence = 2
+// silenceFactor is the multiple of its objective that a request must have been without an answer for its caller's
+// disconnection to count as a failure of the backend server.
+const silenceFactor = 2
 
-// judged returns what the ending of a request says of its backend server: one that
-// was silent until the caller left has failed.
-func (m *Machine) judged(r *request, ending Ending) Ending {
-	mute := !r.began && r.Objective > 0 && m.now-r.flight.sent > silence*r.Objective
-	if ending == Left && mute {
+// effectiveEnding returns the ending that counts for the health of the backend server. If it was silent until the
+// caller disconnected, it has failed.
+func (m *Machine) effectiveEnding(r *request, ending Ending) Ending {
+	silent := !r.began && r.Objective > 0 && m.now-r.flight.sent > silenceFactor*r.Objective
+	if ending == Left && silent {
 		return Failed
 	}
 	return ending
 }
 
-// Tick lets time pass.
+// Tick advances the time and processes the waiting requests.
 func (m *Machine) Tick(now model.Time) {
 	m.now = max(m.now, now)
-	m.decide()
+	m.processQueue()
 }
 
-// never is a time that doesn't come.
+// never is later than any time that occurs.
 const never = model.Time(1<<63 - 1)
 
 // Wake returns when the next Tick is due.
@@ -357,16 +351,16 @@
 	if len(m.waiting) == 0 {
 		return never
 	}
-	return m.passed + recheck
+	return m.lastPass + passInterval
 }
 
-// recheck is how often what waits is looked at anew.
-const recheck = 10 * time.Millisecond
+// passInterval is the interval between passes over the waiting requests.
+const passInterval = 10 * time.Millisecond
 
-// mean is a mean that follows what it is given.
-type mean struct{ value float64 }
+// ewma is an exponentially weighted moving average.
+type ewma struct{ value float64 }
 
-// meanWeight is the weight of the newest value.
-const meanWeight = 0.05
+// ewmaWeight is the weight of the newest value.
+const ewmaWeight = 0.05
 
-func (m *mean) add(v float64) { m.value += meanWeight * (v - m.value) }
+func (m *ewma) add(v float64) { m.value += ewmaWeight * (v - m.value) }
--- a/core/prompt/prompt_test.go
+++ b/core/prompt/prompt_test.go
@@ -14,7 +14,7 @@
 
 const pool = model.PoolID(1)
 
-// testConfig is a pool of engines that read 50,000 tokens a second each.
+// testConfig returns a pool of engines that prefill 50,000 tokens a second each.
 func testConfig(engines int) Config {
 	c := Config{
 		Pools:           map[model.PoolID]Pool{pool: {Engine: true, Memory: 500_000}},
@@ -34,104 +34,104 @@
 	return m
 }
 
-// ask returns a request whose prompt begins with a shared part.
-func ask(id model.RequestID, account model.AccountID, thing uint64, own int) Request {
+// newRequest returns a request whose prompt begins with a shared part.
+func newRequest(id model.RequestID, account model.AccountID, shared uint64, unshared int) Request {
 	return Request{
 		ID: id, Account: account, Pool: pool, Objective: 800 * time.Millisecond, Wait: 10 * time.Second,
-		Prompt: model.Prompt{Tokens: 10_000 + own, Hint: 50, Parts: []model.Part{{ID: thing, Tokens: 10_000}, {ID: uint64(id) + 1<<40, Tokens: own}}},
+		Prompt: model.Prompt{Tokens: 10_000 + unshared, Hint: 50, Parts: []model.Part{{ID: shared, Tokens: 10_000}, {ID: uint64(id) + 1<<40, Tokens: unshared}}},
 	}
 }
 
-// dispatched returns where the only request that was decided on went.
-func dispatched(t *testing.T, m *Machine) Dispatch {
+// onlyDispatch returns the dispatch that must be the only action.
+func onlyDispatch(t *testing.T, m *Machine) Dispatch {
 	t.Helper()
 	actions := m.Take()
 	if len(actions) != 1 {
-		t.Fatalf("%d actions: %v", len(actions), actions)
+		t.Fatalf("got %d actions, want 1: %v", len(actions), actions)
 	}
 	d, ok := actions[0].(Dispatch)
 	if !ok {
-		t.Fatalf("not dispatched: %+v", actions[0])
+		t.Fatalf("action is not a dispatch: %+v", actions[0])
 	}
 	return d
 }
 
-func TestPromptsGoWhereTheyWereRead(t *testing.T) {
+func TestDispatchPrefersCachedPrompt(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(4)
-	m.Arrive(0, ask(1, 1, 7, 1000))
-	first := dispatched(t, m)
+	m.Arrive(0, newRequest(1, 1, 7, 1000))
+	first := onlyDispatch(t, m)
 	is.Equal(first.Basis.Unread, 11_000)
 	m.Began(300*time.Millisecond, 1)
 	m.Finish(time.Second, 1, Done, 50)
-	m.Arrive(2*time.Second, ask(2, 1, 7, 1000))
-	second := dispatched(t, m)
+	m.Arrive(2*time.Second, newRequest(2, 1, 7, 1000))
+	second := onlyDispatch(t, m)
 	is.Equal(second.Backend, first.Backend)
-	is.Equal(second.Basis.Unread, 1000) // only its own part
+	is.Equal(second.Basis.Unread, 1000) // only its unshared part
 }
 
-// TestRoutersChooseAlike asks routers that know nothing of each other.
-func TestRoutersChooseAlike(t *testing.T) {
+// TestRoutersAgreeOnHome uses routers that have received no placements.
+func TestRoutersAgreeOnHome(t *testing.T) {
 	is := is.New(t)
 	for thing := range uint64(20) {
 		var chosen []model.BackendID
 		for seed := range uint64(3) {
 			m := New(0, rand.New(rand.NewPCG(seed, 2)))
 			m.Configure(0, testConfig(9))
-			m.Arrive(0, ask(1, 1, thing, 500))
-			chosen = append(chosen, dispatched(t, m).Backend)
+			m.Arrive(0, newRequest(1, 1, thing, 500))
+			chosen = append(chosen, onlyDispatch(t, m).Backend)
 		}
 		is.Equal(chosen[0], chosen[1])
 		is.Equal(chosen[1], chosen[2])
 	}
 }
 
-func TestPlacementsOfOthersAreKnown(t *testing.T) {
+func TestRemotePlacementsAreUsed(t *testing.T) {
 	is := is.New(t)
 	a, b := newMachine(9), newMachine(9)
-	a.Arrive(0, ask(1, 1, 7, 1000))
-	sent := dispatched(t, a)
+	a.Arrive(0, newRequest(1, 1, 7, 1000))
+	sent := onlyDispatch(t, a)
 	report, _ := a.ReportLoads()
 	report.Sequence = 1
 	is.True(b.TakeLoadReport(0, "a", 1, report))
-	b.Arrive(time.Second, ask(1, 1, 7, 1000))
-	got := dispatched(t, b)
+	b.Arrive(time.Second, newRequest(1, 1, 7, 1000))
+	got := onlyDispatch(t, b)
 	is.Equal(got.Backend, sent.Backend)
 	is.Equal(got.Basis.Unread, 1000)
 	again, _ := a.ReportLoads()
-	is.Equal(len(again.Placements), 0) // told once
+	is.Equal(len(again.Placements), 0) // reported only once
 }
 
-func TestWhatIsReadPushesOutWhatIsNotUsed(t *testing.T) {
+func TestUnusedPartsAreEvicted(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	now := time.Duration(0)
-	m.Arrive(now, ask(1, 1, 7, 1000))
-	dispatched(t, m)
+	m.Arrive(now, newRequest(1, 1, 7, 1000))
+	onlyDispatch(t, m)
 	for i := range 60 {
 		now += time.Second
 		id := model.RequestID(i + 2)
 		m.Finish(now, id-1, Done, 50)
-		m.Arrive(now, ask(id, 1, uint64(100+i), 1000))
-		dispatched(t, m)
+		m.Arrive(now, newRequest(id, 1, uint64(100+i), 1000))
+		onlyDispatch(t, m)
 	}
 	m.Finish(now, 61, Done, 50)
-	m.Arrive(now+time.Second, ask(100, 1, 7, 1000))
-	is.Equal(dispatched(t, m).Basis.Unread, 11_000) // 660,000 tokens have been read since
+	m.Arrive(now+time.Second, newRequest(100, 1, 7, 1000))
+	is.Equal(onlyDispatch(t, m).Basis.Unread, 11_000) // 660,000 tokens have been prefilled since
 }
 
-func TestLateAnswerHoldsTheEstimateBack(t *testing.T) {
+func TestLateAnswerLimitsPrefillEstimate(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
-	m.Arrive(0, ask(1, 1, 7, 1000))
-	first := dispatched(t, m)
-	// By its rate it has long been read, but its answer hasn't begun.
-	m.Arrive(2*time.Second, ask(2, 1, 7, 1000))
-	second := dispatched(t, m)
+	m.Arrive(0, newRequest(1, 1, 7, 1000))
+	first := onlyDispatch(t, m)
+	// At its rate the engine has finished the prefill, but the answer has not begun.
+	m.Arrive(2*time.Second, newRequest(2, 1, 7, 1000))
+	second := onlyDispatch(t, m)
 	is.True(second.Backend != first.Backend || second.Basis.Backlog > 0)
 }
 
-func TestFailingServerIsLeftOutAndTriedAgain(t *testing.T) {
+func TestFailingServerIsExcludedAndRetried(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
 	now := time.Duration(0)
@@ -139,8 +139,8 @@
 	hits := 0
 	for id := model.RequestID(1); id <= 400; id++ {
 		now += 50 * time.Millisecond
-		m.Arrive(now, ask(id, 1, uint64(id), 100))
-		d := dispatched(t, m)
+		m.Arrive(now, newRequest(id, 1, uint64(id), 100))
+		d := onlyDispatch(t, m)
 		ending := Done
 		if d.Backend == bad {
 			hits++
@@ -150,42 +150,42 @@
 		}
 		m.Finish(now, id, ending, 10)
 	}
-	is.True(hits < 40) // of 400: a trial now and then
-	is.True(hits > 3)  // but it is tried
+	is.True(hits < 40) // of 400: occasional trials
+	is.True(hits > 3)  // but it is retried
 }
 
-// TestKeptPartsAreCopied lets the backend server that keeps a prompt's shared part
-// be full: another copies it instead of reading it anew.
-func TestKeptPartsAreCopied(t *testing.T) {
+// TestCachedPartsAreCopied fills the backend server that caches a prompt's shared part: another copies it instead of
+// prefilling it again.
+func TestCachedPartsAreCopied(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
 	c := testConfig(2)
 	c.Pools[pool] = Pool{Engine: true, Memory: 500_000, CopyRate: 400_000}
 	m.Configure(0, c)
-	m.Arrive(0, ask(1, 1, 7, 1000))
-	holder := dispatched(t, m).Backend
+	m.Arrive(0, newRequest(1, 1, 7, 1000))
+	holder := onlyDispatch(t, m).Backend
 	m.Began(250*time.Millisecond, 1)
 	for id := model.RequestID(2); id < 10; id++ {
-		m.Arrive(time.Second, ask(id, 1, 7, 6000))
-		d := dispatched(t, m)
+		m.Arrive(time.Second, newRequest(id, 1, 7, 6000))
+		d := onlyDispatch(t, m)
 		if d.Backend == holder {
 			is.Equal(d.CopyFrom, model.BackendID(0))
 			continue
 		}
 		is.Equal(d.CopyFrom, holder)
 		is.Equal(d.Copied, 10_000)
-		is.Equal(d.Basis.Unread, 6000) // its own part alone
+		is.Equal(d.Basis.Unread, 6000) // only its unshared part
 		return
 	}
-	t.Fatal("none went to the other one")
+	t.Fatal("no request was dispatched to the other backend server")
 }
 
-// TestNothingIsCopiedWhereEnginesCannot is the same before engines that can't.
-func TestNothingIsCopiedWhereEnginesCannot(t *testing.T) {
+// TestNoCopyWithoutCopyRate does the same with engines that do not support copies.
+func TestNoCopyWithoutCopyRate(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
 	for id := model.RequestID(1); id < 10; id++ {
-		m.Arrive(0, ask(id, 1, 7, 1000))
+		m.Arrive(0, newRequest(id, 1, 7, 1000))
 		for _, a := range m.Take() {
 			if d, ok := a.(Dispatch); ok {
 				is.Equal(d.CopyFrom, model.BackendID(0))
@@ -194,24 +194,23 @@
 	}
 }
 
-// TestSilenceTellsAgainstAServer lets callers leave after long silence, and others
-// at once.
-func TestSilenceTellsAgainstAServer(t *testing.T) {
+// TestCallerLeavingAfterSilenceIsFailure has one caller disconnect at once and another after a long silence.
+func TestCallerLeavingAfterSilenceIsFailure(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	s := m.servers[model.Backend("engine-0")]
-	m.Arrive(0, ask(1, 1, 1, 100))
-	dispatched(t, m)
+	m.Arrive(0, newRequest(1, 1, 1, 100))
+	onlyDispatch(t, m)
 	m.Finish(100*time.Millisecond, 1, Left, 0)
 	is.Equal(s.health.failures, 0.0)
-	m.Arrive(time.Second, ask(2, 1, 1, 100))
-	dispatched(t, m)
+	m.Arrive(time.Second, newRequest(2, 1, 1, 100))
+	onlyDispatch(t, m)
 	m.Finish(4*time.Second, 2, Left, 0)
 	is.True(s.health.failures > 0)
 }
 
-// TestOneFailureInAHundredChangesNothing lets few requests fail everywhere.
-func TestOneFailureInAHundredChangesNothing(t *testing.T) {
+// TestRareFailuresDoNotExclude has one request of 100 fail.
+func TestRareFailuresDoNotExclude(t *testing.T) {
 	is := is.New(t)
 	h := health{}
 	random := rand.New(rand.NewPCG(1, 1))
@@ -220,12 +219,12 @@
 		if i%100 == 50 {
 			ending = Failed
 		}
-		h.finished(model.Time(i), ending, random)
-		is.True(!h.out(model.Time(i)))
+		h.recordEnd(model.Time(i), ending, random)
+		is.True(!h.excluded(model.Time(i)))
 	}
 }
 
-func TestLeavingServerGetsNothing(t *testing.T) {
+func TestNoDispatchToLeavingServer(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
 	c := testConfig(2)
@@ -235,36 +234,36 @@
 	c.Backends[left] = b
 	m.Configure(0, c)
 	for id := model.RequestID(1); id <= 20; id++ {
-		m.Arrive(time.Duration(id)*time.Second, ask(id, 1, uint64(id), 100))
-		is.True(dispatched(t, m).Backend != left)
+		m.Arrive(time.Duration(id)*time.Second, newRequest(id, 1, uint64(id), 100))
+		is.True(onlyDispatch(t, m).Backend != left)
 		m.Finish(time.Duration(id)*time.Second, id, Done, 1)
 	}
 	delete(c.Backends, left)
 	delete(c.Backends, model.Backend("engine-1"))
 	m.Configure(time.Minute, c)
-	m.Arrive(time.Minute, ask(50, 1, 1, 100))
-	is.Equal(len(m.Take()), 0) // it waits a little for one
+	m.Arrive(time.Minute, newRequest(50, 1, 1, 100))
+	is.Equal(len(m.Take()), 0) // it waits briefly for one
 	m.Tick(time.Minute + time.Second)
 	r, ok := m.Take()[0].(Refuse)
 	is.True(ok)
 	is.Equal(r.Reason, NoBackend)
 }
 
-func TestServersTriedBeforeAreLeftOut(t *testing.T) {
+func TestExceptedServersAreSkipped(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
-	r := ask(1, 1, 7, 100)
+	r := newRequest(1, 1, 7, 100)
 	r.Except = []model.BackendID{model.Backend("engine-0")}
 	m.Arrive(0, r)
-	is.Equal(dispatched(t, m).Backend, model.Backend("engine-1"))
+	is.Equal(onlyDispatch(t, m).Backend, model.Backend("engine-1"))
 }
 
-func TestRefusedEarlyEnoughToComeBack(t *testing.T) {
+func TestRefusalLeavesTimeToRetry(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	now := time.Duration(0)
 	for id := model.RequestID(1); id <= 30; id++ {
-		m.Arrive(now, ask(id, 1, uint64(id), 100))
+		m.Arrive(now, newRequest(id, 1, uint64(id), 100))
 	}
 	refusals := 0
 	for now < 900*time.Millisecond {
@@ -281,9 +280,8 @@
 	is.True(refusals > 20)
 }
 
-// drawn is a machine under drawn events, with what is known of each request:
-// true once it was sent.
-type drawn struct {
+// randomMachine is a machine that receives random events, with the open requests: true once dispatched.
+type randomMachine struct {
 	*rapid.T
 	m    *Machine
 	now  time.Duration
@@ -291,8 +289,8 @@
 	next model.RequestID
 }
 
-// settle takes the actions: a request is sent once, and refused only before.
-func (d *drawn) settle() {
+// takeActions checks the actions: a request is dispatched once, and refused only before.
+func (d *randomMachine) takeActions() {
 	for _, a := range d.m.Take() {
 		switch a := a.(type) {
 		case Dispatch:
@@ -309,53 +307,53 @@
 	}
 }
 
-func (d *drawn) which() model.RequestID {
+func (d *randomMachine) drawID() model.RequestID {
 	return model.RequestID(rapid.IntRange(0, int(d.next)).Draw(d.T, "which"))
 }
 
-func (d *drawn) arrive() {
+func (d *randomMachine) arrive() {
 	d.next++
 	d.open[d.next] = false
 	account := model.AccountID(rapid.IntRange(1, 4).Draw(d.T, "account"))
-	thing := uint64(rapid.IntRange(1, 5).Draw(d.T, "thing"))
-	d.m.Arrive(d.now, ask(d.next, account, thing, rapid.IntRange(1, 60_000).Draw(d.T, "own")))
+	shared := uint64(rapid.IntRange(1, 5).Draw(d.T, "thing"))
+	d.m.Arrive(d.now, newRequest(d.next, account, shared, rapid.IntRange(1, 60_000).Draw(d.T, "own")))
 }
 
-func (d *drawn) finish() {
-	id := d.which()
+func (d *randomMachine) finish() {
+	id := d.drawID()
 	d.m.Finish(d.now, id, Ending(rapid.IntRange(0, int(NotSent)).Draw(d.T, "ending")), 20)
-	d.settle()
+	d.takeActions()
 	delete(d.open, id)
 }
 
-// TestNothingIsLost draws events in any order: each request is decided on once,
-// and nothing of it remains when it has ended.
-func TestNothingIsLost(t *testing.T) {
+// TestEachRequestIsDecidedOnce generates events in any order: each request is dispatched or refused once, and no
+// state of it remains when it has ended.
+func TestEachRequestIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &drawn{T: t, m: newMachine(rapid.IntRange(0, 3).Draw(t, "engines")), open: map[model.RequestID]bool{}}
+		d := &randomMachine{T: t, m: newMachine(rapid.IntRange(0, 3).Draw(t, "engines")), open: map[model.RequestID]bool{}}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			d.now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
 				d.arrive()
 			case 2:
-				d.m.Began(d.now, d.which())
+				d.m.Began(d.now, d.drawID())
 			case 3:
 				d.finish()
 			case 4:
 				d.m.Tick(d.now)
 			}
-			d.settle()
+			d.takeActions()
 		}
 		for id := range d.open {
 			d.m.Finish(d.now, id, Left, 0)
 		}
 		if !d.m.Idle() || len(d.m.waiting) > 0 {
-			t.Fatal("something is left")
+			t.Fatal("requests remain")
 		}
 		for _, s := range d.m.servers {
-			if len(s.flights) > 0 || s.sent < s.read {
-				t.Fatalf("%d flights, %v sent and %v read", len(s.flights), s.sent, s.read)
+			if len(s.flights) > 0 || s.sentTokens < s.prefilledTokens {
+				t.Fatalf("%d requests in flight, %v tokens sent and %v prefilled", len(s.flights), s.sentTokens, s.prefilledTokens)
 			}
 		}
 	})
@@ -368,26 +366,26 @@
 	for b.Loop() {
 		id++
 		now += 10 * time.Millisecond
-		m.Arrive(now, ask(id, model.AccountID(id%16), uint64(id%55), 1000))
+		m.Arrive(now, newRequest(id, model.AccountID(id%16), uint64(id%55), 1000))
 		m.Take()
 		m.Began(now, id)
 		m.Finish(now, id, Done, 50)
 	}
 }
 
-// TestSlownessFades lets a backend server answer many times later than expected, and then
-// be left alone: after a while it is expected to be as fast as the others, and so tried.
-func TestSlownessFades(t *testing.T) {
+// TestSlownessDecays has a backend server answer much later than expected and then receive no requests: after a while
+// it must be expected to be as fast as the others, so that it is retried.
+func TestSlownessDecays(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	s := m.servers[m.order[0]]
 	for range 50 {
-		s.health.began(4*slowFrom, slowFrom)
+		s.health.recordBegin(4*minSlownessDelay, minSlownessDelay)
 	}
 	is.True(s.health.slowness() > 3)
 	m.Sample(0)
 	m.Sample(2 * time.Second)
-	is.True(s.health.slowness() > 3) // not so soon
-	m.Sample(2*time.Second + 4*slowKept)
+	is.True(s.health.slowness() > 3) // not this soon
+	m.Sample(2*time.Second + 4*slownessDecay)
 	is.True(s.health.slowness() < 1.5)
 }
--- a/core/prompt/queue.go
+++ b/core/prompt/queue.go
@@ -8,40 +8,38 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// decide goes over what waits, in the order in which it is served, and sends or
-// refuses what is due; once in recheck at the most, as a pass over a long queue
-// takes time that a busy router doesn't have for each event.
-func (m *Machine) decide() {
-	if len(m.waiting) == 0 || m.now < m.passed+recheck {
+// processQueue dispatches or refuses the waiting requests that are due, in service order. It runs at most once per
+// passInterval, as a pass over a long queue takes too much time for a busy router to make one for each event.
+func (m *Machine) processQueue() {
+	if len(m.waiting) == 0 || m.now < m.lastPass+passInterval {
 		return
 	}
-	m.passed = m.now
-	m.endUnheard()
+	m.lastPass = m.now
+	m.endStartupAssumption()
 	l := m.levels()
-	for _, r := range m.ranked(l.owed) {
-		m.consider(r, l)
+	for _, r := range m.inServiceOrder(l.fairShare) {
+		m.processRequest(r, l)
 	}
 }
 
 const (
-	// maxWaiting is how many requests wait at the most, and maxWaitingOf how many of
-	// one account. Each is looked at anew in every pass, for which a router that is
-	// flooded by one account has no time; and the others need places too.
-	maxWaiting   = 64
-	maxWaitingOf = 12
+	// maxWaiting is the largest number of waiting requests, and maxWaitingPerAccount the largest number of one
+	// account. Each pass evaluates every waiting request, and a router that is flooded by one account has no time for
+	// more; other accounts need queue space as well.
+	maxWaiting           = 64
+	maxWaitingPerAccount = 12
 )
 
-// makeRoom finds a place in the queue for a request; where there is none, it refuses
-// that request, or the newest one of the account that has the most, and tells
-// whether the request may wait.
+// makeRoom makes queue space for a request and reports whether the request may wait. If the queue is full, it refuses
+// either that request or the newest one of the account that has the most requests waiting.
 func (m *Machine) makeRoom(r *request) bool {
 	waiting := map[model.AccountID]int{}
 	for _, o := range m.waiting {
 		waiting[o.Account]++
 	}
 	own := waiting[r.Account]
-	if own >= maxWaitingOf {
-		m.refuseUnseen(r)
+	if own >= maxWaitingPerAccount {
+		m.refuseQueueFull(r)
 		return false
 	}
 	if len(m.waiting) < maxWaiting {
@@ -56,12 +54,12 @@
 	if waiting[last.Account] <= own+1 {
 		last = r
 	}
-	m.refuseUnseen(last)
+	m.refuseQueueFull(last)
 	return last != r
 }
 
-// refuseUnseen refuses a request for which there is no place in the queue.
-func (m *Machine) refuseUnseen(r *request) {
+// refuseQueueFull refuses a request for which the queue has no space.
+func (m *Machine) refuseQueueFull(r *request) {
 	m.drop(r)
 	m.actions = append(m.actions, Refuse{
 		ID: r.ID, Reason: QueueFull, RetryAfter: m.config.Tuning.RetryAfter, Waited: m.now - r.arrived,
@@ -69,38 +67,37 @@
 	})
 }
 
-// drop forgets a request of which nothing was sent.
+// drop removes a request that has not been dispatched.
 func (m *Machine) drop(r *request) {
 	m.removeWaiting(r)
 	delete(m.requests, r.ID)
 }
 
-// ranked returns what waits in the order in which it is served: by priority,
-// then by the part of its share that its account has had, then by arrival.
-func (m *Machine) ranked(level float64) []*request {
+// inServiceOrder returns the waiting requests by priority, then by the fraction of the share that the account has
+// started, then by arrival.
+func (m *Machine) inServiceOrder(share float64) []*request {
 	out := slices.Clone(m.waiting)
 	slices.SortStableFunc(out, func(a, b *request) int {
 		return cmp.Or(
 			cmp.Compare(m.priority(a), m.priority(b)),
-			cmp.Compare(m.had(a.Account, level), m.had(b.Account, level)),
+			cmp.Compare(m.startedFraction(a.Account, share), m.startedFraction(b.Account, share)),
 		)
 	})
 	return out
 }
 
-// priorityStep is how much an account's priority goes before a route's.
-const priorityStep = 1000
+// accountPriorityFactor is the weight of an account's priority relative to a route's.
+const accountPriorityFactor = 1000
 
 func (m *Machine) priority(r *request) int {
-	return m.config.Accounts[r.Account]*priorityStep + r.Priority
+	return m.config.Accounts[r.Account]*accountPriorityFactor + r.Priority
 }
 
-// consider sends or refuses a request, or lets it wait on. One beyond its account's share
-// doesn't wait: what it waits for are the others' requests, and the places that it would
-// take here are those of requests that could be sent at once. On the busiest day of 64
-// routers, waiting as the others do, 0.15 of the objective, left 18,600 of 43,300 requests
-// answered in time, and not waiting 30,400 (docs/design/0001-shifted-work.md).
-func (m *Machine) consider(r *request, l levels) {
+// processRequest dispatches or refuses a request, or leaves it waiting. A request over its account's share does not
+// wait: it would wait for other accounts' requests and take queue space from requests that can be dispatched at once.
+// On the busiest day of 64 routers, 18,600 of 43,300 requests were answered in time when these requests waited as
+// others do, for 0.15 of the objective, and 30,400 when they did not (docs/design/0001-shifted-work.md).
+func (m *Machine) processRequest(r *request, l levels) {
 	t := &m.config.Tuning
 	waited := m.now - r.arrived
 	if m.now >= r.deadline {
@@ -108,101 +105,99 @@
 		return
 	}
 	p, ok := m.best(r)
-	stands := within // of plain services there are no shares
+	status := statusWithin // shares do not apply to plain services
 	if m.config.Pools[r.Pool].Engine {
-		stands = m.standingOf(r.Account, l)
+		status = m.shareStatusOf(r.Account, l)
 	}
-	if ok && m.mayBegin(r, p, stands) {
+	if ok && m.mayDispatch(r, p, status) {
 		m.dispatch(r, p, l)
 		return
 	}
 	if !ok && m.refuseResting(r, l) {
 		return
 	}
-	if stands == within && waited < m.mayWait(r, ok) {
+	if status == statusWithin && waited < m.maxWait(r, ok) {
 		return
 	}
 	switch {
 	case !ok:
 		m.refuse(r, NoBackend, t.RetryAfter, l)
-	case stands != within:
-		m.refuse(r, OverShare, t.RetryOver, l)
+	case status != statusWithin:
+		m.refuse(r, OverShare, t.RetryAfterOverShare, l)
 	default:
-		m.refuse(r, NoRoom, max(p.delay-m.mayDelay(r), t.RetryAfter), l)
+		m.refuse(r, NoRoom, max(p.delay-m.maxDelay(r), t.RetryAfter), l)
 	}
 }
 
-// mayBegin tells whether a request is sent to the place found for it now. One
-// whose own prompt takes so long to read that it can hardly be in time is sent
-// where next to nothing is ahead of it: refusing it would do so for ever.
-func (m *Machine) mayBegin(r *request, p place, stands standing) bool {
+// mayDispatch reports whether a request may be dispatched to the given place now. A request whose own prompt takes so
+// long to prefill that it can hardly meet its objective is dispatched if almost nothing is queued ahead of it;
+// otherwise it would be refused on every retry.
+func (m *Machine) mayDispatch(r *request, p place, status shareStatus) bool {
 	t := &m.config.Tuning
 	if r.Objective <= 0 {
 		return true
 	}
 	if !p.server.engine {
-		return m.mayBeginService(r, p)
+		return m.mayDispatchToService(r, p)
 	}
-	if stands != within {
-		return m.mayBeginOver(r, p, stands)
+	if status != statusWithin {
+		return m.mayDispatchOverShare(r, p, status)
 	}
-	if p.delay <= m.mayDelay(r) {
+	if p.delay <= m.maxDelay(r) {
 		return true
 	}
-	alone := p.delay - p.ahead
-	large := alone > time.Duration(t.Large*float64(r.Objective))
-	return large && p.ahead <= time.Duration(t.BeginLarge*float64(r.Objective))
+	alone := p.delay - p.queueDelay
+	large := alone > time.Duration(t.LargePromptFraction*float64(r.Objective))
+	return large && p.queueDelay <= time.Duration(t.LargeQueueFraction*float64(r.Objective))
 }
 
-// mayBeginOver tells whether a request beyond its account's share is sent to the place found
-// for it now: where little is ahead of it and its own prompt is kept, so that it takes what
-// would idle and pushes out little of what engines keep for others. It copies nothing,
-// which halves what is copied on the busiest day of 64 routers (3,037 to 1,565 GB). Its delay
-// is bounded by a part of what an idle engine leaves of the objective, as a part of the whole
-// would keep out all requests of short objectives.
-func (m *Machine) mayBeginOver(r *request, p place, stands standing) bool {
-	base := p.server.pace.base
-	part := m.config.Tuning.BeginOver
-	switch stands {
-	case farOver:
-		part = m.config.Tuning.BeginFar
-	case beyondReach:
+// mayDispatchOverShare reports whether a request over its account's share may be dispatched to the given place now.
+// It may if little is queued ahead of it and its prompt is cached there, so that it uses idle capacity and evicts
+// little of what engines cache for others. It copies no cached parts, which halves the copied volume on the busiest
+// day of 64 routers (from 3,037 to 1,565 GB). The limit on its delay is a fraction of the objective less the delay of
+// an idle engine; a fraction of the whole objective would exclude all requests with short objectives.
+func (m *Machine) mayDispatchOverShare(r *request, p place, status shareStatus) bool {
+	base := p.server.latency.base
+	fraction := m.config.Tuning.OverShareDelayFraction
+	switch status {
+	case statusFarOver:
+		fraction = m.config.Tuning.FarOverShareDelayFraction
+	case statusLimited:
 		return false
 	}
 	spare := float64(max(r.Objective-base, 0))
-	return p.from == nil && p.delay <= base+time.Duration(part*spare)
+	return p.copySource == nil && p.delay <= base+time.Duration(fraction*spare)
 }
 
-// mayDelay returns the longest expected delay with which a request within its account's
-// share is sent.
-func (m *Machine) mayDelay(r *request) time.Duration {
-	return time.Duration(m.config.Tuning.Begin*float64(r.Objective)) - (m.now-r.arrived)/2
+// maxDelay returns the longest expected delay with which a request within its account's share is dispatched.
+func (m *Machine) maxDelay(r *request) time.Duration {
+	return time.Duration(m.config.Tuning.DelayFraction*float64(r.Objective)) - (m.now-r.arrived)/2
 }
 
-// mayWait returns how long a request waits before it is refused.
-func (m *Machine) mayWait(r *request, ok bool) time.Duration {
+// maxWait returns how long a request waits before it is refused.
+func (m *Machine) maxWait(r *request, ok bool) time.Duration {
 	t := &m.config.Tuning
-	if !ok && m.evacuated(r.Pool) {
+	if !ok && m.poolEvacuated(r.Pool) {
 		return 0
 	}
 	if r.Objective <= 0 || !ok {
-		return t.WaitNone
+		return t.UnavailableWait
 	}
-	return time.Duration(t.Wait * float64(r.Objective))
+	return time.Duration(t.WaitFraction * float64(r.Objective))
 }
 
-// evacuated tells whether all that could serve a pool is in evacuated data halls: there is
-// nothing to wait for.
-func (m *Machine) evacuated(pool model.PoolID) bool {
-	some := false
+// poolEvacuated reports whether all backend servers that could serve a pool are in evacuated data halls, so that
+// waiting is pointless.
+func (m *Machine) poolEvacuated(pool model.PoolID) bool {
+	anyEvacuated := false
 	for _, id := range m.byPool[pool] {
 		s := m.servers[id]
-		if s.serves() {
+		if s.inService() {
 			return false
 		}
-		some = some || s.Evacuated
+		anyEvacuated = anyEvacuated || s.Evacuated
 	}
-	return some
+	return anyEvacuated
 }
 
 func (m *Machine) removeWaiting(r *request) {
@@ -214,23 +209,23 @@
 	p, _ := m.best(r)
 	m.actions = append(m.actions, Refuse{
 		ID: r.ID, Reason: reason, RetryAfter: retryAfter, Waited: m.now - r.arrived, Basis: m.basis(r, p, l),
-		Holds: m.holds(r, reason, retryAfter, p, l),
+		Holds: m.validFor(r, reason, retryAfter, p, l),
 	})
 }
 
-// holds returns how long the reason of a refusal is expected to hold for others of the
-// account and route: until the soonest backend server that was looked at has room, or the amounts
-// are sampled anew by which the account is beyond reach. Beyond its share another prompt may be
-// kept where room idles, and a place in the queue or a backend server may be there at any moment.
-func (m *Machine) holds(r *request, reason Reason, retryAfter time.Duration, p place, l levels) time.Duration {
+// validFor returns how long the reason of a refusal is expected to apply to other requests of the account and route:
+// until the evaluated backend server with the least delay has room, or until the next sample if the account is
+// limited. The other reasons may end at any moment: over the share, another prompt may be cached on an idle engine,
+// and queue space or a backend server may become available.
+func (m *Machine) validFor(r *request, reason Reason, retryAfter time.Duration, p place, l levels) time.Duration {
 	switch reason {
 	case Resting:
 		return retryAfter
 	case NoRoom:
-		return p.soonest - time.Duration(m.config.Tuning.Begin*float64(r.Objective))
+		return p.minDelay - time.Duration(m.config.Tuning.DelayFraction*float64(r.Objective))
 	case OverShare:
-		if m.standingOf(r.Account, l) == beyondReach {
-			return m.shares.sampled + sampleEvery - m.now
+		if m.shareStatusOf(r.Account, l) == statusLimited {
+			return m.shares.lastSample + sampleInterval - m.now
 		}
 	}
 	return 0
@@ -241,49 +236,50 @@
 	basis := m.basis(r, p, l)
 	s := p.server
 	r.server = s
-	if s.cold.is(m.now) {
+	if s.cold.active(m.now) {
 		s.cold.meter.Note(m.now)
 	}
-	r.flight = s.send(m.now, p.unread, p.delay+r.Lag)
-	r.flight.ahead, r.flight.copied = p.ahead, p.from != nil
+	r.flight = s.send(m.now, p.prefillTokens, p.delay+r.Lag)
+	r.flight.queueDelay, r.flight.copied = p.queueDelay, p.copySource != nil
 	if s.engine {
-		m.assume(s.Pool, p.unread)
+		m.assume(s.Pool, p.prefillTokens)
 	} else {
-		r.flight.alone = float64(len(s.flights))+float64(s.remote) <= float64(s.Slots)
+		r.flight.uncontended = float64(len(s.flights))+float64(s.remoteRunning) <= float64(s.Slots)
 	}
-	m.markHome(r, p)
+	m.predictHomeAnswer(r, p)
 	for i, part := range r.Prompt.Parts {
 		key := partKey(part.ID)
-		s.kept.touch(s.sent, key, s.room)
+		s.cache.touch(s.sentTokens, key, s.cacheTokens)
 		if i < len(r.Prompt.Parts)-1 {
-			m.tell(s, key)
+			m.recordPlacement(s, key)
 		}
 	}
 	d := Dispatch{
 		ID: r.ID, Backend: s.id, Waited: m.now - r.arrived, Basis: basis,
 	}
-	if p.from != nil {
-		d.CopyFrom, d.Copied = p.from.id, int(p.copied)
+	if p.copySource != nil {
+		d.CopyFrom, d.Copied = p.copySource.id, int(p.copiedTokens)
 	}
 	m.actions = append(m.actions, d)
 }
 
-// basis returns what a decision on a request rests on; the place has no backend server
-// where there is none.
+// basis returns the values on which the decision on a request is based. The place has no backend server if none was
+// available.
 func (m *Machine) basis(r *request, p place, l levels) Basis {
-	stands := m.standingOf(r.Account, l)
+	status := m.shareStatusOf(r.Account, l)
 	out := Basis{
-		Stands: stands.String(), Ahead: l.best,
-		Delay: p.delay, Unread: int(p.unread), Backlog: int(p.backlog), Soonest: p.soonest,
-		Over: stands != within, Had: m.had(r.Account, l.owed),
-		Lately: m.hadLately(r.Account, l), Owed: l.owed, Bound: l.bound, Brief: l.brief, Age: m.oldestReport(),
+		Stands: status.String(), Ahead: l.mostStarted,
+		Delay: p.delay, Unread: int(p.prefillTokens), Backlog: int(p.backlog), Soonest: p.minDelay,
+		Over: status != statusWithin, Had: m.startedFraction(r.Account, l.fairShare),
+		Lately: m.recentStartedFraction(r.Account, l), Owed: l.fairShare, Bound: l.windowLimit, Brief: l.burstLimit,
+		Age: m.oldestReportAge(),
 	}
-	if l.owed > 0 {
-		out.Asked = m.Usage(r.Account).Asked / l.owed
+	if l.fairShare > 0 {
+		out.Asked = m.Usage(r.Account).Asked / l.fairShare
 	}
 	if s := p.server; s != nil {
 		out.Best, out.Slow = s.id, s.health.slowness()
-		out.Unheard = int(s.unseen(m.now) + s.assumed)
+		out.Unheard = int(s.expectedUnreported(m.now) + s.assumedTokens)
 	}
 	return out
 }
--- a/core/prompt/queue_test.go
+++ b/core/prompt/queue_test.go
@@ -9,38 +9,36 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// TestFloodLeavesPlacesToOthers floods a router whose engines are full with the
-// requests of one account: a request of another one must still find a place, and the
-// flood only so many.
-func TestFloodLeavesPlacesToOthers(t *testing.T) {
+// TestFloodLeavesQueueSpace floods a router whose engines are full with requests of one account: only a limited
+// number may wait, and a request of another account must still find space.
+func TestFloodLeavesQueueSpace(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	for _, s := range m.servers {
-		s.sentElsewhere(0, 200_000)
+		s.addRemote(0, 200_000)
 	}
 	const flood, quiet = 1, 2
 	for i := range 300 {
-		m.Arrive(0, ask(model.RequestID(i+1), flood, uint64(i), 1000))
+		m.Arrive(0, newRequest(model.RequestID(i+1), flood, uint64(i), 1000))
 	}
-	is.Equal(len(m.Take()), 300-maxWaitingOf) // refused at once
-	m.Arrive(time.Millisecond, ask(1000, quiet, 7, 1000))
+	is.Equal(len(m.Take()), 300-maxWaitingPerAccount) // refused at once
+	m.Arrive(time.Millisecond, newRequest(1000, quiet, 7, 1000))
 	is.Equal(len(m.Take()), 0) // it waits
 	is.True(m.Has(1000))
 }
 
-// TestQueueIsSharedByAccounts fills the queue from many accounts: whoever has the
-// most gives up a place.
+// TestQueueIsSharedByAccounts fills the queue with requests of many accounts: the account with the most loses one.
 func TestQueueIsSharedByAccounts(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	for _, s := range m.servers {
-		s.sentElsewhere(0, 200_000)
+		s.addRemote(0, 200_000)
 	}
 	id := model.RequestID(0)
 	for account := range model.AccountID(6) {
-		for range maxWaitingOf {
+		for range maxWaitingPerAccount {
 			id++
-			m.Arrive(0, ask(id, account+1, uint64(id), 1000))
+			m.Arrive(0, newRequest(id, account+1, uint64(id), 1000))
 		}
 	}
 	is.Equal(len(m.waiting), maxWaiting)
@@ -53,11 +51,10 @@
 	}
 }
 
-// TestNobodyFallsFarBehindTheBest lets one account begin far more than it is owed, as
-// its prompts are kept where there is room. Another one that has begun more than it is
-// owed too, but less than three quarters of that, must still count as within its share; one
-// that has begun nearly as much mustn't.
-func TestNobodyFallsFarBehindTheBest(t *testing.T) {
+// TestShareFollowsMostStarted has one account start far more than its fair share, as its prompts are cached where
+// there is room. Another one that has also started more than that share, but not more than three quarters of the
+// first one's amount, must still be within its share; one that has started nearly as much must not.
+func TestShareFollowsMostStarted(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(9)
 	owed := m.config.TokensPerSecond * window.Seconds()
@@ -69,37 +66,37 @@
 	m.Count(2, 9*owed, 2.25*owed)
 	m.Count(3, 9*owed, 2.55*owed)
 	l := m.levels()
-	is.Equal(m.standingOf(2, l), within)
-	is.True(m.standingOf(3, l) != within)
+	is.Equal(m.shareStatusOf(2, l), statusWithin)
+	is.True(m.shareStatusOf(3, l) != statusWithin)
 }
 
-// TestShortObjectivesAreServedBeyondTheShare lets an account that has had its share ask
-// for little, within an objective that an idle engine takes most of.
-func TestShortObjectivesAreServedBeyondTheShare(t *testing.T) {
+// TestShortObjectivesAreServedOverShare sends short prompts of an account over its share, with an objective little
+// longer than the delay of an idle engine.
+func TestShortObjectivesAreServedOverShare(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(4)
-	r := &request{Request: Request{Pool: pool, Objective: 4 * firstBase}}
+	r := &request{Request: Request{Pool: pool, Objective: 4 * initialBase}}
 	idle, ok := m.best(r)
 	is.True(ok)
-	for _, stands := range []standing{over, farOver} {
-		is.True(m.mayBegin(r, idle, stands))
+	for _, status := range []shareStatus{statusOver, statusFarOver} {
+		is.True(m.mayDispatch(r, idle, status))
 		busy := idle
 		busy.delay += r.Objective / 4
-		is.True(!m.mayBegin(r, busy, stands))
+		is.True(!m.mayDispatch(r, busy, status))
 	}
 }
 
-// TestBeyondTheShareNothingWaits asks for something beyond its account's share where an
-// engine is busy: it is refused at once, and takes no place of what may still be sent.
-func TestBeyondTheShareNothingWaits(t *testing.T) {
+// TestOverShareIsNotQueued sends a request of an account over its share to a busy engine: it is refused at once and
+// takes no queue space from requests that can be dispatched.
+func TestOverShareIsNotQueued(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	m.Sample(0)
-	m.Count(1, 1e7, 1e7) // it has begun more than all engines make
+	m.Count(1, 1e7, 1e7) // more than the capacity of all engines
 	m.Count(2, 1e7, 0)
-	m.Arrive(0, ask(1, 2, 7, 1000))
-	dispatched(t, m)
-	m.Arrive(0, ask(2, 1, 8, 1000))
+	m.Arrive(0, newRequest(1, 2, 7, 1000))
+	onlyDispatch(t, m)
+	m.Arrive(0, newRequest(2, 1, 8, 1000))
 	actions := m.Take()
 	is.Equal(len(actions), 1)
 	refusal, ok := actions[0].(Refuse)
--- a/core/prompt/request.go
+++ b/core/prompt/request.go
@@ -6,24 +6,24 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Request is a request to be decided on.
+// Request is a request to be dispatched or refused.
 type Request struct {
 	ID        model.RequestID
 	Account   model.AccountID
 	Pool      model.PoolID
-	Route     uint32 // whose outputs are of a kind
+	Route     uint32 // outputs of one route are of similar length
 	Prompt    model.Prompt
-	Objective time.Duration // until the answer should begin, 0 for none
-	Wait      time.Duration // until it can't be served any more
+	Objective time.Duration // time until the answer should begin, 0 for none
+	Wait      time.Duration // time until the request can no longer be served
 	Priority  int           // 0 is the highest
-	// Lag is how late this process comes to what is due: so much later it also takes
-	// an answer for begun, which tells nothing against the backend server.
+	// Lag is the processing delay of this router. Answers are observed later by the same time, which must not count
+	// against the backend server.
 	Lag time.Duration
-	// Except are the backend servers that it was sent to before.
+	// Except lists the backend servers that the request was dispatched to before.
 	Except []model.BackendID
 }
 
-// Action is what is to be done; each action type below is one.
+// Action is an action for the caller to carry out: a Dispatch or a Refuse.
 type Action interface{ action() }
 
 // Dispatch sends a request to a backend server.
@@ -32,84 +32,83 @@
 	Backend model.BackendID
 	Waited  time.Duration
 	Basis   Basis
-	// CopyFrom is the backend server from which parts of the prompt are to be
-	// copied, 0 for none, and Copied how many tokens that is.
+	// CopyFrom is the backend server from which cached parts of the prompt are copied, 0 for none, and Copied the
+	// number of tokens copied.
 	CopyFrom model.BackendID
 	Copied   int
 }
 
-// Basis is what a decision rests on, for the log.
+// Basis holds the values on which a decision is based, for the log.
 type Basis struct {
 	Best    model.BackendID // the best backend server, 0 for none
-	Delay   time.Duration   // expected until the answer begins there
-	Unread  int             // tokens of the prompt that are to be read there
-	Backlog int             // tokens to be read there before it
-	// Unheard is the part of the backlog that others are expected to have sent and
-	// haven't told of yet.
+	Delay   time.Duration   // expected time until the answer begins there
+	Unread  int             // tokens of the prompt to prefill there
+	Backlog int             // tokens to prefill there before the prompt
+	// Unheard is the part of the backlog that other routers are expected to have sent but have not reported yet.
 	Unheard int
-	Slow    float64       // how much slower than its pool's pace it is taken to read
-	Soonest time.Duration // the least delay expected of any backend server looked at
-	Over    bool          // the account was beyond its share
-	Stands  string        // how the account stood to it, in a word
-	Ahead   float64       // what the best served account has begun, in tokens of the window
-	Had     float64       // part of what the account is owed that has begun
-	Asked   float64       // the same of what it has asked for
-	Owed    float64       // what each account is owed, in tokens of the window
-	Bound   float64       // what one may begin of it at the most, whatever idles
-	Brief   float64       // the same of the last second
-	Lately  float64       // part of its even part of the last second that has begun
-	Age     time.Duration // of the oldest load report of another router
+	Slow    float64       // estimated slowness relative to the pool's prefill rate
+	Soonest time.Duration // least expected delay of the evaluated backend servers
+	Over    bool          // whether the account was over its share
+	Stands  string        // share status of the account
+	Ahead   float64       // most tokens that any account has started in the window
+	Had     float64       // fraction of the fair share that the account has started
+	Asked   float64       // fraction of the fair share that the account has requested
+	Owed    float64       // fair share of each account, in tokens per window
+	Bound   float64       // limit on what an account may start in the window, regardless of idle capacity
+	Brief   float64       // the same limit for the last burst period
+	Lately  float64       // fraction of its burst share that the account has started
+	Age     time.Duration // age of the oldest load report of another router
 }
 
-// Reason is why a request is refused.
+// Reason is the reason of a refusal.
 type Reason string
 
-// The reasons.
+// Reasons of refusals.
 const (
-	NoBackend Reason = "no-backend" // there is none that could serve it
-	NoRoom    Reason = "no-room"    // it couldn't begin in time anywhere
-	OverShare Reason = "over-share" // its account has had its share, and others wait
-	QueueFull Reason = "queue-full" // too many wait here, or too many of its account
-	TooLate   Reason = "too-late"   // its time is over
-	Resting   Reason = "resting"    // all that could serve it have asked for rest
+	NoBackend Reason = "no-backend" // no backend server is available
+	NoRoom    Reason = "no-room"    // no backend server can begin the answer in time
+	OverShare Reason = "over-share" // the account has used its share, and others are waiting
+	QueueFull Reason = "queue-full" // too many requests are waiting, in total or of the account
+	TooLate   Reason = "too-late"   // the deadline has passed
+	Resting   Reason = "resting"    // all available backend servers have requested a rest
 )
 
-// Refuse refuses a request of which nothing was sent.
+// Refuse refuses a request that has not been dispatched.
 type Refuse struct {
 	ID         model.RequestID
 	Reason     Reason
 	RetryAfter time.Duration
 	Waited     time.Duration
 	Basis      Basis
-	// Holds is how long the reason is expected to hold for others of the account and route.
+	// Holds is how long the reason is expected to apply to other requests of the account and route.
 	Holds time.Duration
 }
 
 func (Dispatch) action() {}
 func (Refuse) action()   {}
 
-// Ending tells how a request that was dispatched has ended.
+// Ending is the outcome of a dispatched request.
 type Ending uint8
 
-// The endings.
+// Outcomes of dispatched requests.
 const (
-	Done     Ending = iota // a whole answer
-	Left                   // the caller has left
-	Rejected               // the backend server said that it didn't run it
-	Failed                 // the backend server failed or broke off
-	NotSent                // nothing was sent, as it can't be reached
+	Done     Ending = iota // the answer is complete
+	Left                   // the caller disconnected
+	Rejected               // the backend server rejected the request without running it
+	Failed                 // the backend server failed or broke off the answer
+	NotSent                // the backend server is unreachable and nothing was sent
 )
 
-// CostOf returns what a request costs in the terms of shares: a token read
-// counts once, a token written twice.
+// CostOf returns the cost of a request that counts towards shares, in tokens: 1 for each prompt token and
+// outputTokenCost for each output token.
 func (m *Machine) CostOf(in *Request) float64 {
-	return float64(in.Prompt.Tokens) + writtenCost*m.expectedOutput(in)
+	return float64(in.Prompt.Tokens) + outputTokenCost*m.expectedOutput(in)
 }
 
-// writtenCost is what a token written costs, in tokens read.
-const writtenCost = 2
+// outputTokenCost is the cost of an output token, in prompt tokens.
+const outputTokenCost = 2
 
-// expectedOutput returns the tokens of output expected.
+// expectedOutput returns the expected number of output tokens.
 func (m *Machine) expectedOutput(in *Request) float64 {
 	if in.Prompt.Hint > 0 {
 		return float64(in.Prompt.Hint)
--- a/core/prompt/rest.go
+++ b/core/prompt/rest.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// restSpread is the time over which callers are spread at the least that are asked back when a backend server has
-	// rested. A second later it is to be full again, so that it is half of one.
-	restSpread = 500 * time.Millisecond
-	// maxRestSpread is the most of it: callers don't wait longer.
-	maxRestSpread = 3 * time.Second
-	// returnPart is the part of what backend servers can do that is left to callers that come back.
-	returnPart = 0.5
+	// retrySpread is the minimum period over which callers are spread that retry after a backend server has rested. A
+	// second after the rest the backend server should be fully used again, hence half a second.
+	retrySpread = 500 * time.Millisecond
+	// maxRetrySpread is the maximum of this period, which limits how long callers wait.
+	maxRetrySpread = 3 * time.Second
+	// retryFraction is the fraction of the backend servers' capacity that is reserved for retrying callers.
+	retryFraction = 0.5
 )
 
-// rested returns when the first of those backend servers will have rested that a request may be sent to, where all of them
-// rest, and how many they are; none where one doesn't, and gets nothing at present for another reason.
-func (m *Machine) rested(r *request) (first model.Time, resting int) {
+// restEnd returns when the first of the backend servers available to a request ends its rest, and how many are
+// resting. It returns zeros unless all of them are resting.
+func (m *Machine) restEnd(r *request) (first model.Time, resting int) {
 	for _, id := range m.byPool[r.Pool] {
 		s := m.servers[id]
-		if !s.serves() || m.notices.Leaves(m.now, id) || slices.Contains(r.Except, id) {
+		if !s.inService() || m.notices.Leaves(m.now, id) || slices.Contains(r.Except, id) {
 			continue
 		}
 		until := m.notices.RestsUntil(m.now, id)
@@ -37,42 +37,43 @@
 	return first, resting
 }
 
-// refuseResting refuses a request at once that can't begin before the backend servers have rested, and tells whether it
-// did. Its caller is told when that will be.
+// refuseResting refuses a request at once that cannot begin before a backend server ends its rest, and reports
+// whether it did. The refusal has the time until then as RetryAfter.
 func (m *Machine) refuseResting(r *request, l levels) bool {
-	first, resting := m.rested(r)
-	if resting == 0 || first <= r.arrived+m.config.Tuning.WaitNone {
+	first, resting := m.restEnd(r)
+	if resting == 0 || first <= r.arrived+m.config.Tuning.UnavailableWait {
 		return false
 	}
-	m.refuse(r, Resting, m.comeBack(r, first, resting)-m.now, l)
+	m.refuse(r, Resting, m.retryTime(r, first, resting)-m.now, l)
 	return true
 }
 
-// comeBack returns when a caller may come back whose request finds all backend servers resting, the first until then.
+// retryTime returns when a caller may retry whose request found all backend servers resting until the given time.
 //
-// Callers come back no faster than the backend servers can serve half of them, as far as this router is one of many alike:
-// all at once would make the backend servers ask for rest again. Before four services with 9 and 64 routers, 734 and 503
-// callers that came back within half a second had 403 and 352 requests turned away in the first second, as queues were
-// full; now 31 and 66 are, and 352 and 338 answers in time for 287 and 308 (TestRestedServersFillUpWithoutACrowd).
-func (m *Machine) comeBack(r *request, first model.Time, resting int) model.Time {
-	next := max(m.returns[r.Pool], first)
-	gap := time.Duration(float64(m.capacityFor(r)) * float64(m.routers) / float64(resting) / returnPart)
-	m.returns[r.Pool] = min(next+gap, first+maxRestSpread)
-	if next >= first+maxRestSpread {
-		return first + time.Duration(r.draw*float64(maxRestSpread))
+// Callers retry no faster than half of the rate that the backend servers can serve, assuming that all routers have
+// equal load: if all retried at once, the backend servers would request a rest again. With four backend servers, 9
+// and 64 routers, and 734 and 503 callers that retried within half a second, 403 and 352 requests were rejected in
+// the first second because queues were full; with this limit 31 and 66 are, and 352 and 338 answers are in time
+// instead of 287 and 308 (TestRetriesAfterRestAreSpread).
+func (m *Machine) retryTime(r *request, first model.Time, resting int) model.Time {
+	next := max(m.nextRetry[r.Pool], first)
+	gap := time.Duration(float64(m.occupancyOf(r)) * float64(m.routers) / float64(resting) / retryFraction)
+	m.nextRetry[r.Pool] = min(next+gap, first+maxRetrySpread)
+	if next >= first+maxRetrySpread {
+		return first + time.Duration(r.uniform*float64(maxRetrySpread))
 	}
-	return next + time.Duration(r.draw*float64(restSpread))
+	return next + time.Duration(r.uniform*float64(retrySpread))
 }
 
-// capacityFor returns how long a request keeps a backend server of its pool from others: an engine reads one after
-// the other, a plain service works on as many as it has slots. 0 where that isn't known.
-func (m *Machine) capacityFor(r *request) time.Duration {
+// occupancyOf returns how long a request occupies a backend server of its pool. An engine prefills one request after
+// the other; a plain service processes as many at once as it has slots. The result is 0 if it is unknown.
+func (m *Machine) occupancyOf(r *request) time.Duration {
 	if m.config.Pools[r.Pool].Engine {
-		return time.Duration(float64(r.Prompt.Tokens) / m.paceOf(r.Pool).rate * float64(time.Second))
+		return time.Duration(float64(r.Prompt.Tokens) / m.latencyOf(r.Pool).rate * float64(time.Second))
 	}
 	slots := 1
 	for _, id := range m.byPool[r.Pool] {
 		slots = max(slots, m.servers[id].Slots)
 	}
-	return m.workOf(r.Pool) / time.Duration(slots)
+	return m.serviceTimeOf(r.Pool) / time.Duration(slots)
 }
--- a/core/prompt/server.go
+++ b/core/prompt/server.go
@@ -8,151 +8,151 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// overdue is how much later than expected an answer must begin for the estimate of what
-// was read to be held back.
-const overdue = 40 * time.Millisecond
+// overdueMargin is how much later than expected an answer must begin for the prefill estimate to be limited.
+const overdueMargin = 40 * time.Millisecond
 
-// server is what is known of a backend server.
+// server is the estimated state of a backend server.
 type server struct {
 	Backend
-	id       model.BackendID
-	engine   bool
-	room     float64 // tokens read after which a part that wasn't used has given way
-	pace     *pace   // of its pool
-	copyRate float64 // tokens copied from another in a second, 0 for not at all
-	gone     bool
-
-	// sent counts the tokens sent that were to be read, by all routers as far as
-	// known; read estimates how many of these have been read. Both only grow.
-	sent float64
-	read float64
-	at   model.Time // of the estimate
-
-	flights []*flight // from here, in the order they were sent
-	remote  int       // running for other routers, by their load reports
-	others  others    // what other routers send there
-	foreign float64   // tokens that they have told to have sent
-	assumed float64   // tokens that others may have sent, before any was heard
-
-	// untold counts the tokens sent from here that the other routers don't know of;
-	// toldRunning is how many requests they take to run from here, as told at toldAt;
-	// unsettled tells that this is to be reported once more.
-	untold      float64
-	toldRunning int
-	toldAt      model.Time
-	unsettled   bool
-	kept        kept
-	health      health
-	cold        coldStart
+	id          model.BackendID
+	engine      bool
+	cacheTokens float64       // tokens prefilled after which an unused part is considered evicted
+	latency     *latencyModel // latency model of its pool
+	copyRate    float64       // tokens copied from another backend server per second, 0 if not supported
+	removed     bool
+
+	// sentTokens counts the tokens to prefill sent by all routers, as far as reported; prefilledTokens estimates how
+	// many of these have been prefilled.
+	sentTokens      float64
+	prefilledTokens float64
+	updated         model.Time // time of the estimate
+
+	flights       []*flight     // dispatched by this router, in order
+	remoteRunning int           // running for other routers, as reported
+	remoteTraffic remoteTraffic // rate of what other routers send
+	remoteTokens  float64       // tokens that other routers have reported as sent
+	assumedTokens float64       // tokens that other routers may have sent before the first report was received
+
+	// unreported counts the tokens sent by this router that have not been reported to the others. reportedRunning is
+	// the number of running requests last reported, at reportedAt. repeatPending is set if that report is to be
+	// repeated.
+	unreported      float64
+	reportedRunning int
+	reportedAt      model.Time
+	repeatPending   bool
+	cache           prefixCache
+	health          health
+	cold            coldStart
 }
 
-// flight is one request on its way.
+// flight is a request in flight.
 type flight struct {
-	sent   model.Time
-	end    float64 // the server's count of tokens sent, once it was sent
-	unread float64
-	ahead  time.Duration // expected until it is read itself
-	copied bool          // parts of its prompt are copied from another
-	alone  bool          // no other router is expected to have sent anything ahead of it
-	others float64       // the server's count of tokens sent by others, once it was sent
-	began  bool
-	delay  time.Duration // expected until the answer begins
-	// ifKept and ifCold are when the answer would begin if the shared parts, of
-	// which this router doesn't know, are kept or aren't; 0 where it knows.
-	ifKept, ifCold time.Duration
+	sent          model.Time
+	endOffset     float64 // the server's sentTokens just after the dispatch
+	prefillTokens float64
+	queueDelay    time.Duration // expected until its own prefill begins
+	copied        bool          // parts of its prompt are copied from another backend server
+	uncontended   bool          // no request of another router is expected ahead of it
+	remoteTokens  float64       // the server's remoteTokens just after the dispatch
+	began         bool
+	expectedDelay time.Duration // expected until the answer begins
+	// beginIfCached and beginIfUncached are the expected times until the answer begins if the shared parts are cached
+	// at the home or not; 0 if this router has a record of them.
+	beginIfCached, beginIfUncached time.Duration
 }
 
 func newServer(id model.BackendID, now model.Time) *server {
-	return &server{id: id, at: now, kept: newKept(), pace: newPace()}
+	return &server{id: id, updated: now, cache: newPrefixCache(), latency: newLatencyModel()}
 }
 
-// takes tells whether anything new may be sent to a backend server at present.
-func (m *Machine) takes(s *server) bool {
-	return s.serves() && m.notices.Takes(m.now, s.id) && !s.health.out(m.now) && s.cold.takes(m.now)
+// accepts reports whether a new request may be dispatched to a backend server now.
+func (m *Machine) accepts(s *server) bool {
+	return s.inService() && m.notices.Takes(m.now, s.id) && !s.health.excluded(m.now) && s.cold.accepts(m.now)
 }
 
-// serves tells whether it is there to be sent to, whatever its state at present.
-func (s *server) serves() bool { return !s.Leaving && !s.Evacuated }
+// inService reports whether the backend server is neither leaving nor evacuated, whatever its current state.
+func (s *server) inService() bool { return !s.Leaving && !s.Evacuated }
 
-// advance lets the estimate of what was read grow.
+// advance updates the prefill estimate.
 func (s *server) advance(now model.Time) {
-	if now <= s.at {
+	if now <= s.updated {
 		return
 	}
-	s.read = min(s.read+s.pace.rate*(now-s.at).Seconds()/s.health.slowness(), s.sent)
-	s.at = now
+	s.prefilledTokens = min(s.prefilledTokens+s.latency.rate*(now-s.updated).Seconds()/s.health.slowness(), s.sentTokens)
+	s.updated = now
 	for _, f := range s.flights {
 		if !f.began {
-			if now > f.sent+f.delay+overdue {
-				s.read = min(s.read, max(f.end-f.unread/2, 0))
+			if now > f.sent+f.expectedDelay+overdueMargin {
+				s.prefilledTokens = min(s.prefilledTokens, max(f.endOffset-f.prefillTokens/2, 0))
 			}
 			break
 		}
 	}
 }
 
-// backlog returns the tokens that are expected to be still unread.
+// backlog returns the expected number of tokens that are not prefilled yet.
 func (s *server) backlog(now model.Time) float64 {
 	s.advance(now)
-	return s.sent - s.read + s.unseen(now) + s.assumed
+	return s.sentTokens - s.prefilledTokens + s.expectedUnreported(now) + s.assumedTokens
 }
 
-// running returns how many requests run there, as far as known.
-func (s *server) running() int { return len(s.flights) + s.remote }
+// running returns the number of requests running there, as far as reported.
+func (s *server) running() int { return len(s.flights) + s.remoteRunning }
 
-// reading returns how long it takes to read so many tokens.
-func (s *server) reading(tokens float64) time.Duration {
-	if s.pace.rate <= 0 {
+// prefillTime returns how long prefilling the given number of tokens takes.
+func (s *server) prefillTime(tokens float64) time.Duration {
+	if s.latency.rate <= 0 {
 		return 0
 	}
-	return time.Duration(tokens / s.pace.rate * s.health.slowness() * float64(time.Second))
+	return time.Duration(tokens / s.latency.rate * s.health.slowness() * float64(time.Second))
 }
 
-// send counts a request that is sent there.
-func (s *server) send(now model.Time, unread float64, delay time.Duration) *flight {
+// send records a dispatched request.
+func (s *server) send(now model.Time, prefillTokens float64, expectedDelay time.Duration) *flight {
 	s.advance(now)
-	s.sent += unread
-	s.untold += unread
-	f := &flight{sent: now, end: s.sent, unread: unread, delay: delay, others: s.foreign}
-	f.alone = s.reading(s.unseen(now)+s.assumed) <= idleAhead
+	s.sentTokens += prefillTokens
+	s.unreported += prefillTokens
+	f := &flight{sent: now, endOffset: s.sentTokens, prefillTokens: prefillTokens, expectedDelay: expectedDelay,
+		remoteTokens: s.remoteTokens}
+	f.uncontended = s.prefillTime(s.expectedUnreported(now)+s.assumedTokens) <= maxIdleQueueDelay
 	s.flights = append(s.flights, f)
 	return f
 }
 
-// sentElsewhere counts tokens that another router has sent there.
-func (s *server) sentElsewhere(now model.Time, tokens float64) {
+// addRemote adds tokens reported as sent by another router.
+func (s *server) addRemote(now model.Time, tokens float64) {
 	s.advance(now)
-	s.sent += tokens
-	s.foreign += tokens
-	s.others.add(now, tokens)
+	s.sentTokens += tokens
+	s.remoteTokens += tokens
+	s.remoteTraffic.add(now, tokens)
 }
 
-// undisturbed tells whether nothing that other routers have sent may have been ahead of a
-// request, as far as their load reports tell until its answer begins.
-func (s *server) undisturbed(f *flight) bool {
-	return f.alone && s.reading(s.foreign-f.others) <= idleAhead
+// isUncontended reports whether no tokens of other routers can have been ahead of a request, according to the load
+// reports received until its answer begins.
+func (s *server) isUncontended(f *flight) bool {
+	return f.uncontended && s.prefillTime(s.remoteTokens-f.remoteTokens) <= maxIdleQueueDelay
 }
 
-// began takes that an answer has begun: all that was sent before has been read.
-func (s *server) began(now model.Time, f *flight) {
+// recordBegin records that an answer has begun, which implies that everything sent before has been prefilled.
+func (s *server) recordBegin(now model.Time, f *flight) {
 	s.advance(now)
 	f.began = true
-	s.read = max(s.read, f.end)
-	s.health.began(now-f.sent, f.delay)
+	s.prefilledTokens = max(s.prefilledTokens, f.endOffset)
+	s.health.recordBegin(now-f.sent, f.expectedDelay)
 }
 
-// finished takes that a request has ended.
-func (s *server) finished(now model.Time, f *flight, ending Ending, random *rand.Rand) {
+// recordEnd records that a request has ended.
+func (s *server) recordEnd(now model.Time, f *flight, ending Ending, random *rand.Rand) {
 	s.advance(now)
 	s.flights = slices.DeleteFunc(s.flights, func(o *flight) bool { return o == f })
 	if !f.began && ending != Done {
-		// Its tokens won't be read.
-		s.sent = max(s.sent-f.unread, s.read)
+		// Its tokens will not be prefilled.
+		s.sentTokens = max(s.sentTokens-f.prefillTokens, s.prefilledTokens)
 		for _, o := range s.flights {
-			if o.end > f.end {
-				o.end -= f.unread
+			if o.endOffset > f.endOffset {
+				o.endOffset -= f.prefillTokens
 			}
 		}
 	}
-	s.health.finished(now, ending, random)
+	s.health.recordEnd(now, ending, random)
 }
--- a/core/prompt/service.go
+++ b/core/prompt/service.go
@@ -7,71 +7,69 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// A plain service works on as many requests at once as it has slots, and lets some more
-// wait, whose callers then wait with them: a queue that takes longer than the objective
-// leaves all of them late. What waits there is estimated from the requests that all routers
-// have running, and from how long one takes, which is learned.
+// A plain service processes as many requests at once as it has slots and queues some more. A queue that takes longer
+// than the objective makes all queued requests late. The queue length is estimated from the running requests of all
+// routers, and the time per request from earlier requests.
 
 const (
-	// serviceBegin is the part of the objective within which an answer must be expected for
-	// a request to be sent. The rest is for what takes longer than the mean, and for what
-	// other routers have sent and not told of yet.
-	serviceBegin = 0.8
-	// serviceFarPenalty is what another data hall counts for, in full slots.
-	serviceFarPenalty = 0.2
+	// serviceDelayFraction is the fraction of the objective within which an answer must be expected for a request to
+	// be dispatched. The rest allows for requests that take longer than the mean and for requests that other routers
+	// have not reported yet.
+	serviceDelayFraction = 0.8
+	// serviceCrossHallPenalty is the penalty for another data hall, as a fraction of the slots.
+	serviceCrossHallPenalty = 0.2
 )
 
-// bestService returns a backend server of a plain service, drawn by chance; ok is false
-// where there is none. The fuller one is, the less likely it is drawn: reports are older
-// than a request takes, so that all routers would send to the least loaded one until the
-// next reports, which then show another.
-func (m *Machine) bestService(r *request) (drawn place, ok bool) {
+// bestService returns a random backend server of a plain service; ok is false if there is none. The probability
+// decreases with the load: reports are older than a request takes, so that all routers would otherwise dispatch to
+// the least loaded backend server until the next reports.
+func (m *Machine) bestService(r *request) (chosen place, ok bool) {
 	sum := 0.0
 	for _, id := range m.byPool[r.Pool] {
 		s := m.servers[id]
-		if !m.takes(s) || slices.Contains(r.Except, id) {
+		if !m.accepts(s) || slices.Contains(r.Except, id) {
 			continue
 		}
 		p := m.placeAtService(s)
 		weight := 1 / (1 + max(p.score, 0))
 		sum += weight
 		if m.random.Float64()*sum < weight {
-			drawn, ok = p, true
+			chosen, ok = p, true
 		}
 	}
-	drawn.soonest = drawn.delay
-	return drawn, ok
+	chosen.minDelay = chosen.delay
+	return chosen, ok
 }
 
-// mayBeginService tells whether a request is sent to a plain service now. What finds a slot
-// is sent however long it is expected to take: only requests that are sent tell that they
-// take less. Else the chance to be sent falls evenly to none where the answer would come too
-// late: all routers know the same load, and would all send below a limit and none above it,
-// until the next reports.
-func (m *Machine) mayBeginService(r *request, p place) bool {
-	if p.ahead == 0 {
+// mayDispatchToService reports whether a request may be dispatched to a plain service now. A request that finds a
+// free slot is dispatched regardless of its expected duration, as only dispatched requests show that requests have
+// become faster. Otherwise the probability decreases linearly to zero at the point where the answer would be too
+// late: all routers have the same load information, and with a fixed limit all of them would dispatch below it and
+// none above it until the next reports.
+func (m *Machine) mayDispatchToService(r *request, p place) bool {
+	if p.queueDelay == 0 {
 		return true
 	}
-	left := time.Duration(serviceBegin*float64(r.Objective)) - (p.delay - p.ahead) - (m.now - r.arrived)
-	return r.draw < 1-p.ahead.Seconds()/max(left.Seconds(), 0)
+	left := time.Duration(serviceDelayFraction*float64(r.Objective)) - (p.delay - p.queueDelay) - (m.now - r.arrived)
+	return r.uniform < 1-p.queueDelay.Seconds()/max(left.Seconds(), 0)
 }
 
-// placeAtService returns what is expected of a request at a plain service.
+// placeAtService returns the expected load and delay of a request at a plain service.
 func (m *Machine) placeAtService(s *server) place {
 	slots := float64(max(s.Slots, 1))
 	load := m.serviceLoad(s)
-	p := place{server: s, score: load/slots + s.health.failing(m.now)*m.config.Tuning.FailureWeight}
+	p := place{server: s, score: load/slots + s.health.failureRate(m.now)*m.config.Tuning.FailurePenalty}
 	if !s.Near {
-		p.score += serviceFarPenalty
+		p.score += serviceCrossHallPenalty
 	}
-	work := float64(m.workOf(s.Pool))
-	p.ahead = time.Duration(max(load+1-slots, 0) / slots * work)
-	p.delay = p.ahead + time.Duration(work)
+	serviceTime := float64(m.serviceTimeOf(s.Pool))
+	p.queueDelay = time.Duration(max(load+1-slots, 0) / slots * serviceTime)
+	p.delay = p.queueDelay + time.Duration(serviceTime)
 	return p
 }
 
-// serviceLoad returns how many requests are expected to be at a plain service. A router that
-// has heard no other takes each to have as many there as itself.
+// serviceLoad returns the expected number of requests at a plain service. Until the first report is received, each
+// other router is assumed to have as many there as this one.
 func (m *Machine) serviceLoad(s *server) float64 {
 	if len(m.peers) == 0 {
 		return float64(len(s.flights) * m.routers)
@@ -79,23 +77,23 @@
 	return float64(s.running())
 }
 
-// workOf returns how long a request of a plain service takes by itself, in the mean; 0
-// until one has told.
-func (m *Machine) workOf(pool model.PoolID) time.Duration {
-	if w := m.works[pool]; w != nil {
+// serviceTimeOf returns the mean time that a plain service of a pool takes for a request, without queueing; 0 until
+// the first answer.
+func (m *Machine) serviceTimeOf(pool model.PoolID) time.Duration {
+	if w := m.serviceTimes[pool]; w != nil {
 		return time.Duration(w.value)
 	}
 	return 0
 }
 
-// learnWork takes how long a request took at a plain service that had a slot for it.
-func (m *Machine) learnWork(s *server, f *flight) {
-	if s.engine || !f.alone || s.running() > s.Slots {
+// recordServiceTime records how long a request took at a plain service that had a slot for it.
+func (m *Machine) recordServiceTime(s *server, f *flight) {
+	if s.engine || !f.uncontended || s.running() > s.Slots {
 		return
 	}
 	took := float64(m.now - f.sent)
-	if m.works[s.Pool] == nil {
-		m.works[s.Pool] = &mean{value: took}
+	if m.serviceTimes[s.Pool] == nil {
+		m.serviceTimes[s.Pool] = &ewma{value: took}
 	}
-	m.works[s.Pool].add(took)
+	m.serviceTimes[s.Pool].add(took)
 }
--- a/core/prompt/service_test.go
+++ b/core/prompt/service_test.go
@@ -13,84 +13,84 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// The plain service of these tests: what it does and what is asked of it are those of a
-// league's entries of which half the backend servers are evacuated.
+// Parameters of the simulated plain service. The demand is that of a service with half of its backend servers
+// evacuated.
 const (
 	serviceSlots     = 6
 	serviceQueue     = 24
 	serviceWork      = 60 * time.Millisecond
 	serviceObjective = 300 * time.Millisecond
-	reportEvery      = 100 * time.Millisecond
-	onTheWay         = 4 * time.Millisecond // there and back
+	reportInterval   = 100 * time.Millisecond
+	roundTrip        = 4 * time.Millisecond // both directions
 )
 
-// serviceWorld runs routers before the backend servers of a plain service.
-type serviceWorld struct {
-	time    eventqueue.Queue
-	random  *rand.Rand
-	fleet   []*Machine
-	servers map[model.BackendID]*serviceServer
-	asked   int
-	inTime  int
-	late    int
-	turned  int // away by a backend server whose queue was full
-	refused int
-	begun   map[model.RequestID]model.Time
-	returns bool // callers come back once, when they are told
-	books   map[*Machine]*notice.Book
-	// disturbed counts the requests that reached a backend server later than half a second after it had asked
-	// their router for rest, and before that is over.
-	disturbed map[asked]int
-}
-
-// asked is a backend server that has asked a router for rest.
-type asked struct {
+// serviceSimulation simulates routers and the backend servers of a plain service.
+type serviceSimulation struct {
+	clock        eventqueue.Queue
+	random       *rand.Rand
+	fleet        []*Machine
+	servers      map[model.BackendID]*serviceServer
+	requested    int
+	inTime       int
+	late         int
+	rejected     int // by a backend server whose queue was full
+	refused      int
+	arrivals     map[model.RequestID]model.Time
+	retryRefused bool // refused callers retry once after RetryAfter
+	books        map[*Machine]*notice.Book
+	// disturbed counts the requests that reached a backend server during its rest, more than half a second after it
+	// had requested that rest from their router.
+	disturbed map[restRequest]int
+}
+
+// restRequest identifies a backend server that has requested a rest from a router.
+type restRequest struct {
 	router *Machine
 	server *serviceServer
 }
 
 type serviceServer struct {
-	id      model.BackendID
-	running int
-	queue   []func()
-	rests   model.Time // until when
-	told    map[*Machine]model.Time
+	id         model.BackendID
+	running    int
+	queue      []func()
+	restsUntil model.Time // end of the rest
+	notified   map[*Machine]model.Time
 }
 
-// restAll lets all backend servers turn away what comes for so long, and ask for as long.
-func (w *serviceWorld) restAll(long time.Duration) {
+// restAll makes all backend servers reject requests and request a rest for the given time.
+func (w *serviceSimulation) restAll(duration time.Duration) {
 	for _, s := range w.servers {
-		s.rests = w.time.Now() + long
+		s.restsUntil = w.clock.Now() + duration
 	}
 }
 
-// rest lets a backend server that rests turn a request away.
-func (w *serviceWorld) rest(m *Machine, s *serviceServer, id model.RequestID) {
-	if at, told := s.told[m]; told && w.time.Now() > at+500*time.Millisecond {
-		w.disturbed[asked{m, s}]++
+// rejectResting rejects a request at a resting backend server.
+func (w *serviceSimulation) rejectResting(m *Machine, s *serviceServer, id model.RequestID) {
+	if at, notified := s.notified[m]; notified && w.clock.Now() > at+500*time.Millisecond {
+		w.disturbed[restRequest{m, s}]++
 	}
-	if _, told := s.told[m]; !told {
-		s.told[m] = w.time.Now()
+	if _, notified := s.notified[m]; !notified {
+		s.notified[m] = w.clock.Now()
 	}
-	left := s.rests - w.time.Now()
-	w.time.After(onTheWay/2, func() {
-		w.books[m].Take(w.time.Now(), s.id, notice.Notice{Rest: left})
+	left := s.restsUntil - w.clock.Now()
+	w.clock.After(roundTrip/2, func() {
+		w.books[m].Take(w.clock.Now(), s.id, notice.Notice{Rest: left})
 		w.finish(m, id, Rejected)
 	})
 }
 
-func newServiceWorld(routers, servers int) *serviceWorld {
-	w := &serviceWorld{
-		random: rand.New(rand.NewPCG(7, 8)), servers: map[model.BackendID]*serviceServer{}, begun: map[model.RequestID]model.Time{},
-		books: map[*Machine]*notice.Book{}, disturbed: map[asked]int{},
+func newServiceSimulation(routers, servers int) *serviceSimulation {
+	w := &serviceSimulation{
+		random: rand.New(rand.NewPCG(7, 8)), servers: map[model.BackendID]*serviceServer{}, arrivals: map[model.RequestID]model.Time{},
+		books: map[*Machine]*notice.Book{}, disturbed: map[restRequest]int{},
 	}
 	c := Config{Pools: map[model.PoolID]Pool{pool: {}}, Backends: map[model.BackendID]Backend{}}
 	for i := range servers {
 		name := fmt.Sprintf("service-%d", i)
 		c.Backends[model.Backend(name)] = Backend{Name: name, Pool: pool, Near: true, Slots: serviceSlots}
-		w.servers[model.Backend(name)] = &serviceServer{id: model.Backend(name), told: map[*Machine]model.Time{}}
+		w.servers[model.Backend(name)] = &serviceServer{id: model.Backend(name), notified: map[*Machine]model.Time{}}
 	}
-	w.fleet = fleetOf(routers, 0, c)
+	w.fleet = newFleet(routers, 0, c)
 	for i, m := range w.fleet {
 		m.SetRouters(routers)
 		w.books[m] = notice.New()
@@ -101,133 +101,133 @@
 	return w
 }
 
-// tick lets a router go over what waits.
-func (w *serviceWorld) tick(m *Machine) {
-	m.Sample(w.time.Now())
-	m.Tick(w.time.Now())
+// tick runs a router's periodic processing.
+func (w *serviceSimulation) tick(m *Machine) {
+	m.Sample(w.clock.Now())
+	m.Tick(w.clock.Now())
 	w.act(m)
-	w.time.After(recheck, func() { w.tick(m) })
+	w.clock.After(passInterval, func() { w.tick(m) })
 }
 
-// report tells all others of a router's load.
-func (w *serviceWorld) report(i int, sequence uint64) {
+// report sends a router's load reports to all others.
+func (w *serviceSimulation) report(i int, sequence uint64) {
 	report, _ := w.fleet[i].ReportLoads()
 	report.Sequence = sequence
-	w.time.After(reportEvery, func() {
+	w.clock.After(reportInterval, func() {
 		for j, o := range w.fleet {
 			if j != i {
-				o.TakeLoadReport(w.time.Now(), fmt.Sprint(i), 1, report)
+				o.TakeLoadReport(w.clock.Now(), fmt.Sprint(i), 1, report)
 			}
 		}
 		w.report(i, sequence+1)
 	})
 }
 
-// ask lets callers ask all routers alike for so many requests a second.
-func (w *serviceWorld) ask(perSecond float64, until model.Time) {
-	if w.time.Now() >= until {
+// sendRequests sends requests to random routers at a rate per second.
+func (w *serviceSimulation) sendRequests(perSecond float64, until model.Time) {
+	if w.clock.Now() >= until {
 		return
 	}
-	w.askOnce(w.fleet[w.random.IntN(len(w.fleet))])
+	w.sendRequest(w.fleet[w.random.IntN(len(w.fleet))])
 	pause := time.Duration(w.random.ExpFloat64() / perSecond * float64(time.Second))
-	w.time.After(pause, func() { w.ask(perSecond, until) })
+	w.clock.After(pause, func() { w.sendRequests(perSecond, until) })
 }
 
-func (w *serviceWorld) act(m *Machine) {
+func (w *serviceSimulation) act(m *Machine) {
 	for _, a := range m.Take() {
 		switch a := a.(type) {
 		case Dispatch:
-			w.time.After(onTheWay/2, func() { w.arrive(m, w.servers[a.Backend], a.ID) })
+			w.clock.After(roundTrip/2, func() { w.arrive(m, w.servers[a.Backend], a.ID) })
 		case Refuse:
 			w.refused++
-			if w.returns {
-				w.time.After(a.RetryAfter, func() { w.askOnce(m) })
+			if w.retryRefused {
+				w.clock.After(a.RetryAfter, func() { w.sendRequest(m) })
 			}
 		}
 	}
 }
 
-// askOnce lets a caller ask a router.
-func (w *serviceWorld) askOnce(m *Machine) {
-	w.asked++
-	id := model.RequestID(w.asked)
-	w.begun[id] = w.time.Now()
-	m.Arrive(w.time.Now(), Request{ID: id, Pool: pool, Objective: serviceObjective, Wait: 1500 * time.Millisecond})
+// sendRequest sends a request to a router.
+func (w *serviceSimulation) sendRequest(m *Machine) {
+	w.requested++
+	id := model.RequestID(w.requested)
+	w.arrivals[id] = w.clock.Now()
+	m.Arrive(w.clock.Now(), Request{ID: id, Pool: pool, Objective: serviceObjective, Wait: 1500 * time.Millisecond})
 	w.act(m)
 }
 
-// arrive lets a backend server take a request, or turn it away.
-func (w *serviceWorld) arrive(m *Machine, s *serviceServer, id model.RequestID) {
+// arrive delivers a request to a backend server, which runs, queues or rejects it.
+func (w *serviceSimulation) arrive(m *Machine, s *serviceServer, id model.RequestID) {
 	run := func() {
 		s.running++
 		took := time.Duration(float64(serviceWork) * (0.5 + w.random.Float64()))
-		w.time.After(took, func() {
+		w.clock.After(took, func() {
 			s.running--
 			if len(s.queue) > 0 {
 				next := s.queue[0]
 				s.queue = s.queue[1:]
 				next()
 			}
-			w.time.After(onTheWay/2, func() { w.finish(m, id, Done) })
+			w.clock.After(roundTrip/2, func() { w.finish(m, id, Done) })
 		})
 	}
 	switch {
-	case w.time.Now() < s.rests:
-		w.rest(m, s, id)
+	case w.clock.Now() < s.restsUntil:
+		w.rejectResting(m, s, id)
 	case s.running < serviceSlots:
 		run()
 	case len(s.queue) < serviceQueue:
 		s.queue = append(s.queue, run)
 	default:
-		w.turned++
-		w.time.After(onTheWay/2, func() { w.finish(m, id, Rejected) })
+		w.rejected++
+		w.clock.After(roundTrip/2, func() { w.finish(m, id, Rejected) })
 	}
 }
 
-func (w *serviceWorld) finish(m *Machine, id model.RequestID, ending Ending) {
-	if ending == Done && w.time.Now()-w.begun[id] <= serviceObjective {
+func (w *serviceSimulation) finish(m *Machine, id model.RequestID, ending Ending) {
+	if ending == Done && w.clock.Now()-w.arrivals[id] <= serviceObjective {
 		w.inTime++
 	} else if ending == Done {
 		w.late++
 	}
-	m.Finish(w.time.Now(), id, ending, 0)
+	m.Finish(w.clock.Now(), id, ending, 0)
 	w.act(m)
 }
 
-// TestServiceBeyondItsCapacityAnswersInTime asks a plain service for a fifth more than it
-// can do: what is answered is to be answered in time, and slots not to be idle.
-func TestServiceBeyondItsCapacityAnswersInTime(t *testing.T) {
+// TestOverloadedServiceAnswersInTime sends a plain service a fifth more than its capacity: its answers must be in
+// time and its slots in use.
+func TestOverloadedServiceAnswersInTime(t *testing.T) {
 	for _, routers := range []int{9, 64} {
 		is := is.New(t)
-		w := newServiceWorld(routers, 2)
-		const long = 20 * time.Second
+		w := newServiceSimulation(routers, 2)
+		const duration = 20 * time.Second
 		const capacity = 2 * serviceSlots * float64(time.Second/serviceWork)
-		w.ask(1.2*capacity, long)
-		w.time.Run(long)
-		t.Logf("%d routers: asked %d, in time %d, late %d, turned away %d, refused %d", routers, w.asked, w.inTime, w.late, w.turned, w.refused)
-		is.True(float64(w.inTime) >= 0.85*capacity*long.Seconds())
-		is.True(float64(w.late) <= 0.05*float64(w.asked))
-		is.True(float64(w.turned) <= 0.03*float64(w.asked))
+		w.sendRequests(1.2*capacity, duration)
+		w.clock.Run(duration)
+		t.Logf("%d routers: %d requests, in time %d, late %d, rejected %d, refused %d", routers, w.requested, w.inTime, w.late, w.rejected, w.refused)
+		is.True(float64(w.inTime) >= 0.85*capacity*duration.Seconds())
+		is.True(float64(w.late) <= 0.05*float64(w.requested))
+		is.True(float64(w.rejected) <= 0.03*float64(w.requested))
 	}
 }
 
-// TestServiceBelowItsCapacityServesAll asks for three fifths of what there is.
-func TestServiceBelowItsCapacityServesAll(t *testing.T) {
+// TestServiceBelowCapacityServesAll sends three fifths of the capacity.
+func TestServiceBelowCapacityServesAll(t *testing.T) {
 	for _, routers := range []int{9, 64} {
 		is := is.New(t)
-		w := newServiceWorld(routers, 4)
-		const long = 20 * time.Second
+		w := newServiceSimulation(routers, 4)
+		const duration = 20 * time.Second
 		const capacity = 4 * serviceSlots * float64(time.Second/serviceWork)
-		w.ask(0.6*capacity, long)
-		w.time.Run(long)
-		t.Logf("%d routers: asked %d, in time %d, late %d, turned away %d, refused %d", routers, w.asked, w.inTime, w.late, w.turned, w.refused)
-		is.True(float64(w.inTime) >= 0.97*float64(w.asked))
+		w.sendRequests(0.6*capacity, duration)
+		w.clock.Run(duration)
+		t.Logf("%d routers: %d requests, in time %d, late %d, rejected %d, refused %d", routers, w.requested, w.inTime, w.late, w.rejected, w.refused)
+		is.True(float64(w.inTime) >= 0.97*float64(w.requested))
 	}
 }
 
-// TestSlowServiceIsTriedAgain lets a plain service take longer than the objective for a
-// while: it is sent to again once it doesn't.
-func TestSlowServiceIsTriedAgain(t *testing.T) {
+// TestSlowServiceIsRetried has a plain service take longer than the objective for a while: requests must be
+// dispatched to it again when it no longer does.
+func TestSlowServiceIsRetried(t *testing.T) {
 	is := is.New(t)
 	m := New(0, rand.New(rand.NewPCG(1, 2)))
 	m.Configure(0, Config{
@@ -237,10 +237,10 @@
 	now := model.Time(0)
 	for id := model.RequestID(1); id < 20; id++ {
 		m.Arrive(now, Request{ID: id, Pool: pool, Objective: serviceObjective, Wait: time.Second})
-		dispatched(t, m)
+		onlyDispatch(t, m)
 		now += 2 * serviceObjective
 		m.Finish(now, id, Done, 0)
 	}
 	m.Arrive(now, Request{ID: 100, Pool: pool, Objective: serviceObjective, Wait: time.Second})
-	is.Equal(dispatched(t, m).Backend, model.BackendID(1))
+	is.Equal(onlyDispatch(t, m).Backend, model.BackendID(1))
 }
--- a/core/prompt/shares.go
+++ b/core/prompt/shares.go
@@ -9,76 +9,75 @@
 )
 
 const (
-	// window is the time over which shares are counted.
+	// window is the period over which shares are computed.
 	window = 4 * time.Second
-	// burst is the time over which they are counted as well, so that nobody begins the
-	// whole window's share at once: engines can't, and a share that others have begun
-	// before leaves those that come later no room, though the window has it. Over a whole second, the
-	// first half of it is over before routers know of each other's: of 24 emulated cold starts with a busy
-	// router 14 gave an account less than half of its part, and 4 do with half a second.
+	// burst is a second, shorter period over which shares are computed, so that no account starts its share of a
+	// whole window at once: engines cannot process it, and a share that others have started before leaves no room to
+	// accounts that come later, though the window would allow them more. With a whole second, its first half is over
+	// before routers receive each other's reports: of 24 emulated cold starts with a busy router, 14 gave an account
+	// less than half of its share, and 4 do with half a second.
 	burst = 500 * time.Millisecond
-	// sampleEvery is how often the accounts' amounts are sampled.
-	sampleEvery = 250 * time.Millisecond
-	samples     = int(window/sampleEvery) + 1
-	inBurst     = int(burst / sampleEvery)
+	// sampleInterval is the interval at which the accounts' usage is sampled.
+	sampleInterval = 250 * time.Millisecond
+	samples        = int(window/sampleInterval) + 1
+	burstSamples   = int(burst / sampleInterval)
 )
 
-// Usage are what an account has asked for and what has begun of it, in tokens, since a
-// start that doesn't matter.
+// Usage is how many tokens an account has requested and how many of these have been started. Only differences between
+// two values are meaningful.
 type Usage struct {
 	Asked float64
 	Begun float64
 }
 
-// history holds an account's amounts over the window.
+// history holds an account's usage over the window.
 type history struct {
-	now    Usage          // over the fleet, as far as known
-	untold Usage          // of this router, that the others don't know of
-	past   [samples]Usage // of now: a ring
-	last   int            // the newest entry
-	unread float64        // of what was asked for here, turned away unread in the time of a window; fades
-	held   uint32         // samples at which it was held back as beyond reach, the newest in the lowest bit
+	total          Usage          // of all routers, as far as reported
+	unreported     Usage          // of this router, not yet reported to the others
+	ring           [samples]Usage // ring buffer of samples of total
+	newest         int            // index of the newest sample
+	refusedUnread  float64        // tokens refused unread by this router within about one window; decays
+	limitedSamples uint32         // samples at which the account was limited, the newest in the lowest bit
 }
 
-// heldFrom is in how many samples of the window an account was beyond reach that counts as held back.
-// One sample is chance: where little begins for a moment, the bound is below what anybody has begun. With one
-// being enough, the account behind a busy router counted as held back for a whole window, and
-// the best served one went on without any bound (16 of 24 emulated runs below half, 4 now, of small accounts).
-const heldFrom = 4
+// minLimitedSamples is the number of samples in the window from which an account counts as recently limited. A single
+// sample can be chance: when little is started for a moment, the limit is below what any account has started. With
+// one sample, the account behind a busy router counted as limited for a whole window, and the account that had
+// started most had no limit (16 of 24 emulated runs gave small accounts less than half; 4 do with this value).
+const minLimitedSamples = 4
 
-// heldBack tells whether it is because the account was held back that it has begun little.
-func (h *history) heldBack() bool {
-	return bits.OnesCount32(h.held&(1<<samples-1)) >= heldFrom
+// recentlyLimited reports whether the account has started little because it was limited.
+func (h *history) recentlyLimited() bool {
+	return bits.OnesCount32(h.limitedSamples&(1<<samples-1)) >= minLimitedSamples
 }
 
-// inWindow returns the amounts of the window. Entries that aren't filled yet are
-// zero, as the amounts are when the history begins.
+// inWindow returns the usage within the window. Entries of the ring that are not filled yet are zero, which is the
+// usage at the beginning of the history.
 func (h *history) inWindow() Usage {
-	oldest := h.past[(h.last+1)%samples]
-	return Usage{Asked: max(h.now.Asked-oldest.Asked, 0), Begun: max(h.now.Begun-oldest.Begun, 0)}
+	oldest := h.ring[(h.newest+1)%samples]
+	return Usage{Asked: max(h.total.Asked-oldest.Asked, 0), Begun: max(h.total.Begun-oldest.Begun, 0)}
 }
 
-// lately returns the amounts of the time of a burst, less up to one sample.
-func (h *history) lately() Usage {
-	then := h.past[(h.last+samples+1-inBurst)%samples]
-	return Usage{Asked: max(h.now.Asked-then.Asked, 0), Begun: max(h.now.Begun-then.Begun, 0)}
+// inBurst returns the usage within the burst period, less up to one sample interval.
+func (h *history) inBurst() Usage {
+	oldest := h.ring[(h.newest+samples+1-burstSamples)%samples]
+	return Usage{Asked: max(h.total.Asked-oldest.Asked, 0), Begun: max(h.total.Begun-oldest.Begun, 0)}
 }
 
-// shares knows the max-min share of each account. Each router counts what it has itself
-// asked and begun for an account, and the others' from their load reports. A router that has
-// just started knows of no more than what it has heard since.
+// shares computes the max-min share of each account. Each router counts what is requested and started for an account
+// locally and adds the other routers' load reports. A router that has just started only has what was reported since.
 type shares struct {
-	accounts map[model.AccountID]*history
-	order    []model.AccountID // as they were first seen
-	largest  float64           // cost of the largest request of late, in tokens; fades
-	sampled  model.Time
-	idle     model.Time // the newest sample at which nothing had been asked for in the window
+	accounts    map[model.AccountID]*history
+	order       []model.AccountID // in order of first use
+	largestCost float64           // cost of the largest recent request, in tokens; decays
+	lastSample  model.Time
+	lastIdle    model.Time // newest sample without any demand in its window
 }
 
 func newShares() shares { return shares{accounts: map[model.AccountID]*history{}} }
 
-// of returns an account's history.
-func (s *shares) of(account model.AccountID) *history {
+// historyOf returns an account's history and creates it if necessary.
+func (s *shares) historyOf(account model.AccountID) *history {
 	h := s.accounts[account]
 	if h == nil {
 		h = &history{}
@@ -88,50 +87,51 @@
 	return h
 }
 
-// Count adds to what an account has asked for at this router, and to what has begun of
-// it, in tokens. Of what wasn't run in the end, begun takes the cost back.
-func (m *Machine) Count(account model.AccountID, asked, begun float64) {
-	h := m.shares.of(account)
-	h.now.add(Usage{asked, begun})
-	h.untold.add(Usage{asked, begun})
+// Count adds to the tokens that an account has requested at this router and to those started. A negative value of
+// started returns the cost of a request that was not run in the end.
+func (m *Machine) Count(account model.AccountID, requested, started float64) {
+	h := m.shares.historyOf(account)
+	h.total.add(Usage{requested, started})
+	h.unreported.add(Usage{requested, started})
 }
 
-// CountUnread adds to what an account has asked for at this router what was turned away unread, in tokens.
-func (m *Machine) CountUnread(account model.AccountID, asked float64) {
-	m.Count(account, asked, 0)
-	m.shares.of(account).unread += asked
+// CountUnread adds tokens of requests that this router refused unread to what an account has requested.
+func (m *Machine) CountUnread(account model.AccountID, requested float64) {
+	m.Count(account, requested, 0)
+	m.shares.historyOf(account).refusedUnread += requested
 }
 
-// unreadPart is the part of all that an account asks for that one router turns away unread, from which
-// on that router is what holds the account up.
-const unreadPart = 0.25
+// refusedUnreadFraction is the fraction of an account's requested tokens from which on a router that refuses them
+// unread is considered the account's bottleneck.
+const refusedUnreadFraction = 0.25
 
-// heldUpHere tells whether it is this router that has no time for what the account asks for: what it may
-// begin here keeps nobody from following.
-func (h *history) heldUpHere() bool { return h.unread > unreadPart*h.inWindow().Asked }
+// isLocallyConstrained reports whether this router is too busy for what the account requests. What the account starts
+// here then does not prevent other accounts from reaching the same share.
+func (h *history) isLocallyConstrained() bool {
+	return h.refusedUnread > refusedUnreadFraction*h.inWindow().Asked
+}
 
 func (a *Usage) add(b Usage) {
 	a.Asked += b.Asked
 	a.Begun += b.Begun
 }
 
-// AccountIncrement is what an account has newly asked for at a router, and what has begun
-// of it, in tokens.
+// AccountIncrement is what an account has requested and started at a router since the report before, in tokens.
 type AccountIncrement struct {
 	Account model.AccountID
 	Asked   int64
 	Begun   int64
 }
 
-// tell returns what the other routers don't know of an account, and takes it as told.
-func (h *history) tell(account model.AccountID) (AccountIncrement, bool) {
-	n := AccountIncrement{Account: account, Asked: int64(h.untold.Asked), Begun: int64(h.untold.Begun)}
-	h.untold.add(Usage{-float64(n.Asked), -float64(n.Begun)})
+// takeIncrement returns the usage of an account that has not been reported to the other routers, and marks it as
+// reported.
+func (h *history) takeIncrement(account model.AccountID) (AccountIncrement, bool) {
+	n := AccountIncrement{Account: account, Asked: int64(h.unreported.Asked), Begun: int64(h.unreported.Begun)}
+	h.unreported.add(Usage{-float64(n.Asked), -float64(n.Begun)})
 	return n, n.Asked != 0 || n.Begun != 0
 }
 
-// Usage returns what an account has asked for, and what has begun of it, in the
-// window.
+// Usage returns what an account has requested and started in the window.
 func (m *Machine) Usage(account model.AccountID) Usage {
 	if h := m.shares.accounts[account]; h != nil {
 		return h.inWindow()
@@ -139,48 +139,47 @@
 	return Usage{}
 }
 
-// Begun returns what has begun of an account over the fleet since this router's start, in
-// tokens, as far as it has heard.
+// Begun returns the tokens that an account has started on all routers since this router's start, as far as reported.
 func (m *Machine) Begun(account model.AccountID) float64 {
 	if h := m.shares.accounts[account]; h != nil {
-		return h.now.Begun
+		return h.total.Begun
 	}
 	return 0
 }
 
-// Sample lets the window move on; it is due as often as sampleEvery.
+// Sample advances the window. It must be called at least every sampleInterval.
 func (m *Machine) Sample(now model.Time) {
-	for now >= m.shares.sampled+sampleEvery {
-		passed := sampleEvery
-		m.shares.sampled += sampleEvery
-		if now >= m.shares.sampled+window {
-			passed += now - m.shares.sampled
-			m.shares.sampled = now
+	for now >= m.shares.lastSample+sampleInterval {
+		elapsed := sampleInterval
+		m.shares.lastSample += sampleInterval
+		if now >= m.shares.lastSample+window {
+			elapsed += now - m.shares.lastSample
+			m.shares.lastSample = now
 		}
-		asked := 0.0
+		requested := 0.0
 		for _, h := range m.shares.accounts {
-			asked += h.inWindow().Asked
-			h.unread *= unreadKept
-			h.last = (h.last + 1) % samples
-			h.past[h.last] = h.now
+			requested += h.inWindow().Asked
+			h.refusedUnread *= refusedUnreadDecay
+			h.newest = (h.newest + 1) % samples
+			h.ring[h.newest] = h.total
 		}
-		if asked == 0 {
-			m.shares.idle = m.shares.sampled
+		if requested == 0 {
+			m.shares.lastIdle = m.shares.lastSample
 		}
-		m.noteHeld()
-		m.fade(passed)
-		m.forgetUnheard()
-		m.endColdQuiet()
+		m.recordLimited()
+		m.decay(elapsed)
+		m.expireRunning()
+		m.enableCold()
 	}
 }
 
-// unreadKept is what is left from one sample to the next of what was turned away unread.
-const unreadKept = 1 - float64(sampleEvery)/float64(window)
+// refusedUnreadDecay is the factor by which refusedUnread decays per sample.
+const refusedUnreadDecay = 1 - float64(sampleInterval)/float64(window)
 
-// largestFade is how long the largest request counts, fading.
-const largestFade = 10 * time.Second
+// largestCostDecay is the time constant with which the cost of the largest request decays.
+const largestCostDecay = 10 * time.Second
 
-// fadeLargest lets the size of the largest request fade.
-func (s *shares) fadeLargest(passed time.Duration) {
-	s.largest *= math.Exp(-passed.Seconds() / largestFade.Seconds())
+// decayLargestCost reduces the cost of the largest request for the time elapsed.
+func (s *shares) decayLargestCost(elapsed time.Duration) {
+	s.largestCost *= math.Exp(-elapsed.Seconds() / largestCostDecay.Seconds())
 }
--- a/core/prompt/unheard_test.go
+++ b/core/prompt/startup_test.go
@@ -8,10 +8,10 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// TestUnheardRoutersAreTakenToSendAlike lets a router of eight get many requests at once
-// before it has heard any other: it sends a part of what it would send alone, and all of
-// it once it has heard that the others send nothing.
-func TestUnheardRoutersAreTakenToSendAlike(t *testing.T) {
+// TestStartupAssumesEqualRemoteLoad sends many requests at once to one of eight routers before it has received any
+// report: it dispatches a fraction of what it would alone, and all of it once a report shows that the others send
+// nothing.
+func TestStartupAssumesEqualRemoteLoad(t *testing.T) {
 	is := is.New(t)
 	sent := func(routers int, hear bool) int {
 		m := newMachine(4)
@@ -20,8 +20,8 @@
 			m.TakeLoadReport(0, "other", 1, LoadReport{Sequence: 1})
 		}
 		for i := range 10 {
-			m.Arrive(0, ask(model.RequestID(i), 1, uint64(i), 1000))
-			m.passed = -recheck // each is decided on at once
+			m.Arrive(0, newRequest(model.RequestID(i), 1, uint64(i), 1000))
+			m.lastPass = -passInterval // process each at once
 		}
 		n := 0
 		for _, a := range m.Take() {
