--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,26 +1,24 @@
-// Package admission decides, by the header of a request alone, whether the rest of it is
-// read and put before the scheduler.
+// Package admission decides by a request's header alone whether the request is read and passed to the scheduler.
 //
-// # The load it answers
+// It protects a router from overload by a single account. Reading and scheduling a request costs more than refusing it
+// by its header, so a small router that read every excess request would have no processor time left for those it can
+// serve.
 //
-// All callers of one account reach the same router and ask for many times what the account
-// may have. Reading a request and deciding on it costs more than refusing it by its header, and
-// a small router that reads them all has no processor left to send those that would be served.
+// # Reasons for refusal
 //
-// # What is refused
+// A request is refused only for a reason that holds when it arrives:
 //
-// A request is refused only for a reason that holds as it comes:
+//   - WindowFull: another request is unlikely to be decided on in time, given the number that await a decision. There
+//     is no window while all decisions are in time, so an idle router admits a burst whole. After the first late
+//     decision a window applies, as in congestion control: it grows by one after as many decisions in time as it
+//     holds, and halves after a late one. Accounts share it evenly.
+//   - StreamLimitReached: the router carries as many streams as it can pass on in time. Scheduling delay of the
+//     router's process affects all of them; once the delay is too long, a limit applies that follows it. Accounts
+//     share it evenly.
+//   - RecentRefusal: the router is under pressure, and the scheduler has just refused a request of the same account
+//     and route, for a reason that still applies.
 //
-//   - Busy: so many requests are let in and not decided on yet that another one wouldn't be in
-//     time. A burst at a router that has time is let in whole. From the first decision that is late
-//     on, a window holds, as for congestion of a network: it grows by one where as many as it
-//     holds are decided on in time, and halves where one isn't. Accounts share it evenly.
-//   - Laden: the router carries as many streams as it can pass on in time. Turns that come late make all
-//     of them late; from then on a bound holds, which moves by how late turns come. Accounts share it evenly.
-//   - Settled: the router is short of time, and the scheduler has just refused a request of
-//     this account and route, for a reason that isn't over.
-//
-// Each refusal of the scheduler says until when its reason is expected to hold.
+// The scheduler states with each refusal how long its reason is expected to hold.
 package admission
 
 import (
@@ -31,228 +29,225 @@
 )
 
 const (
-	// Part is the part of a request's objective in which it is to be decided on. A caller
-	// who is refused within a quarter can still be served in time when it returns; the way to the
-	// router and back takes some of that.
+	// Part is the fraction of a request's objective within which a decision is due. A caller that is refused within a
+	// quarter of its objective can still be served in time when it retries; the round trip to the router takes some of
+	// that.
 	Part = 1.0 / 8
-	// quickTake is how long a decision takes a whole core at the least. The window never is
-	// larger than what could be decided on in time at that rate.
-	quickTake = 250 * time.Microsecond
-	// enough is the part of its time within which a decision shows that there is time for more;
-	// one in so many as the window holds widens it by one.
-	enough = 0.75
-	// cut is by what part a late decision narrows the window, once in the time that it took: a
-	// router that is given its part of a core in slices decides on some at once, whatever waits.
-	cut = 0.5
-	// firstWindow is the widest that a window is after a late decision: one account's requests
-	// and a router's other work.
-	firstWindow = 12
-	// openAfter is how long no decision must be late for there to be no window any more.
-	openAfter = 2 * time.Second
-	// leastWindow keeps decisions coming, as only they tell that there is time again.
-	leastWindow = 2
-	// pressedFrom is the part of the window that is taken up when a router counts as short
-	// of time.
-	pressedFrom = 0.25
-	// crowdedFor is how long after a refusal a router counts as crowded: callers who are refused come again within some
+	// minDecisionTime is the least time in which a whole core makes one decision. The window never exceeds the number
+	// of decisions that are possible in time at this rate.
+	minDecisionTime = 250 * time.Microsecond
+	// growthThreshold is the fraction of the allowed time within which a decision counts towards growth of the window,
+	// which grows by one after as many such decisions as it holds.
+	growthThreshold = 0.75
+	// decreaseFactor is the factor by which a late decision shrinks the window, at most once in the time which that
+	// decision took: a router with a share of a core runs in slices and makes several decisions at once, regardless of
+	// the queue.
+	decreaseFactor = 0.5
+	// maxWindow is the maximum window after a late decision: enough for the requests of one account beside the
+	// router's other work.
+	maxWindow = 12
+	// windowExpiry is the time without a late decision after which the window is removed.
+	windowExpiry = 2 * time.Second
+	// minWindow keeps decisions coming, as only decisions show that the overload has ended.
+	minWindow = 2
+	// pressureThreshold is the fraction of the window in use from which the router counts as under pressure.
+	pressureThreshold = 0.25
+	// crowdedDuration is how long a router counts as crowded after a refusal. Refused callers retry within some
 	// hundreds of milliseconds.
-	crowdedFor = time.Second
-	// crowdedFrom is the part of new connections that must bring a request which is refused, and newWeight the weight of the newest
-	// one: refusing a request before its connection is taken saves about as much as it costs more to take one afterwards.
-	crowdedFrom = 0.5
-	newWeight   = 1.0 / 32
-	// longestHold bounds what one refusal settles: load reports of other routers are about as
-	// old, and what they tell may change it.
-	longestHold = 100 * time.Millisecond
+	crowdedDuration = time.Second
+	// crowdedThreshold is the fraction of new connections whose first request must be refused for the router to count
+	// as crowded, and connWeight the weight of the newest one in that mean. Refusing a request before its connection
+	// is accepted saves about as much as it costs extra to accept the connection afterwards.
+	crowdedThreshold = 0.5
+	connWeight       = 1.0 / 32
+	// maxRefusalTTL limits how long a refusal applies to other requests. Load reports of other routers are about as
+	// old, and a new one may change the decision.
+	maxRefusalTTL = 100 * time.Millisecond
 )
 
-// Reason is why a request is refused by its header.
+// Reason is the reason for which a request is refused by its header.
 type Reason string
 
-// The reasons.
+// The values of Reason.
 const (
-	Admitted Reason = ""        // it isn't
-	Busy     Reason = "busy"    // it couldn't be decided on in time
-	Settled  Reason = "settled" // what was decided a moment ago holds for it
-	Laden    Reason = "laden"   // as many streams are carried as can be passed on in time
+	Admitted           Reason = ""        // not refused
+	WindowFull         Reason = "busy"    // too many requests await a decision
+	RecentRefusal      Reason = "settled" // the scheduler's last refusal still applies
+	StreamLimitReached Reason = "laden"   // the router carries as many streams as it can pass on in time
 )
 
-// Request is what the header tells of a request.
+// Request is what a request's header contains.
 type Request struct {
 	Account model.AccountID
 	Route   uint32        // hash of the route's name
-	Within  time.Duration // the time in which it is to be decided on
-	// Stream tells that its answer is passed on part by part, the first of them within Objective.
+	Within  time.Duration // time within which the decision is due
+	// Stream reports whether the response is passed on in parts, the first of them due within Objective.
 	Stream    bool
 	Objective time.Duration
-	First     bool          // it is the first one of its connection
-	Late      time.Duration // how late the router's process comes to what is due, in the mean
+	First     bool          // first request of its connection
+	Late      time.Duration // mean scheduling delay of the router's process
 }
 
-// Decision is what the scheduler decided on a request that was let in.
+// Decision is the scheduler's decision on an admitted request.
 type Decision struct {
-	Took    time.Duration // since its header was read, less what it waited for room
+	Took    time.Duration // since the header was read, without the time spent waiting for capacity
 	Refused bool
-	// Holds is how long the reason of a refusal is expected to hold for others of the
-	// account and route.
+	// Holds is how long the reason of a refusal is expected to apply to the account and route.
 	Holds time.Duration
 }
 
-// Verdict is what is decided on a header.
+// Verdict is the decision on a header.
 type Verdict struct {
 	Reason  Reason
-	Pending int // requests of the account that wait for a decision
-	Window  int // requests of all accounts that may wait for one
-	Carried int // streams that are carried
-	Bound   int // streams that may be, 0 for any number
+	Pending int // requests of the account that await a decision
+	Window  int // limit of requests, of all accounts, that await a decision
+	Carried int // current streams
+	Bound   int // limit of streams, 0 for none
 }
 
-// Ticket is a request that was let in. It is given back exactly once, by Decided or Left.
+// Ticket represents an admitted request. It is returned exactly once, by Decided or Left.
 type Ticket struct{ request Request }
 
-// Gate is the state machine. It does no I/O and reads no clock; it isn't safe for use by
-// several goroutines at once.
+// Gate is the state machine of admission. It does no I/O and reads no clock, and is not safe for concurrent use.
 type Gate struct {
-	quick     time.Duration // quickTake with this router's part of a core
-	window    float64
-	cutUntil  model.Time // when the window may be cut again
-	late      model.Time // when the last decision was late
-	refused   model.Time // when a request was last refused
-	newcomers float64    // mean of new connections whose requests are refused
-	pending   int
-	accounts  map[model.AccountID]int // that have any pending
-	settled   map[subject]model.Time  // until when
-	carry     carry
+	minDecision     time.Duration // minDecisionTime, adjusted to the router's share of a core
+	window          float64
+	noDecreaseUntil model.Time // before this time the window isn't decreased again
+	lastLate        model.Time // time of the last late decision
+	lastRefused     model.Time // time of the last refusal
+	connRefusalRate float64    // moving mean of new connections whose first request is refused
+	pending         int
+	accounts        map[model.AccountID]int   // pending requests of each account that has any
+	refusals        map[refusalKey]model.Time // expiry of each refusal
+	streams         streamLimiter
 }
 
-// subject is what a refusal of the scheduler speaks of.
-type subject struct {
+// refusalKey identifies the requests to which a refusal of the scheduler applies.
+type refusalKey struct {
 	account model.AccountID
 	route   uint32
 }
 
-// NewGate returns the gate of a router that has a part of a core, 0 for as many as it needs.
+// NewGate returns the gate of a router with the given share of a core, 0 for no limit.
 func NewGate(processor float64) *Gate {
-	quick := quickTake
+	minDecision := minDecisionTime
 	if processor > 0 && processor < 1 {
-		quick = time.Duration(float64(quickTake) / processor)
+		minDecision = time.Duration(float64(minDecisionTime) / processor)
 	}
 	return &Gate{
-		quick: quick, window: math.Inf(1),
-		accounts: map[model.AccountID]int{}, settled: map[subject]model.Time{}, carry: newCarry(processor),
+		minDecision: minDecision, window: math.Inf(1),
+		accounts: map[model.AccountID]int{}, refusals: map[refusalKey]model.Time{}, streams: newStreamLimiter(processor),
 	}
 }
 
-// Arrive decides on a header. The ticket is valid where the reason is Admitted.
+// Arrive decides on a header. The ticket is valid if the reason is Admitted.
 func (g *Gate) Arrive(now model.Time, r Request) (Verdict, Ticket) {
 	if r.Stream {
-		g.carry.move(now, r.Late, r.Objective)
+		g.streams.update(now, r.Late, r.Objective)
 	}
-	v := g.judge(now, r)
+	v := g.evaluate(now, r)
 	if r.First {
-		g.noteNewcomer(v.Reason != Admitted)
+		g.recordConn(v.Reason != Admitted)
 	}
 	if v.Reason != Admitted {
-		g.refused = now
+		g.lastRefused = now
 		return v, Ticket{}
 	}
-	g.count(r.Account, 1)
+	g.addPending(r.Account, 1)
 	if r.Stream {
-		g.carry.add(r.Account, 1)
+		g.streams.add(r.Account, 1)
 	}
 	return v, Ticket{r}
 }
 
-// Crowded tells whether most new connections have brought requests that were refused, of late.
+// Crowded reports whether the first requests of most recent connections were refused.
 func (g *Gate) Crowded(now model.Time) bool {
-	return g.newcomers >= crowdedFrom && now < g.refused+crowdedFor
+	return g.connRefusalRate >= crowdedThreshold && now < g.lastRefused+crowdedDuration
 }
 
-// noteNewcomer counts a new connection, and whether its request is refused.
-func (g *Gate) noteNewcomer(refused bool) {
-	g.newcomers *= 1 - newWeight
+// recordConn records a new connection and whether its first request is refused.
+func (g *Gate) recordConn(refused bool) {
+	g.connRefusalRate *= 1 - connWeight
 	if refused {
-		g.newcomers += newWeight
+		g.connRefusalRate += connWeight
 	}
 }
 
-// judge decides on a header.
-func (g *Gate) judge(now model.Time, r Request) Verdict {
+// evaluate decides on a header without changing the state.
+func (g *Gate) evaluate(now model.Time, r Request) Verdict {
 	own := g.accounts[r.Account]
 	window := g.windowFor(r)
-	v := Verdict{Pending: own, Window: int(window), Carried: g.carry.carried, Bound: g.carry.most()}
-	pressed := float64(g.pending) >= pressedFrom*window
+	v := Verdict{Pending: own, Window: int(window), Carried: g.streams.active, Bound: g.streams.reportedLimit()}
+	underPressure := float64(g.pending) >= pressureThreshold*window
 	switch {
-	case r.Stream && !g.carry.allows(r.Account):
-		v.Reason = Laden
+	case r.Stream && !g.streams.allows(r.Account):
+		v.Reason = StreamLimitReached
 	case own == 0:
 	case float64(own) >= window/float64(len(g.accounts)):
-		v.Reason = Busy
-	case pressed && now < g.settled[subject{r.Account, r.Route}]:
-		v.Reason = Settled
+		v.Reason = WindowFull
+	case underPressure && now < g.refusals[refusalKey{r.Account, r.Route}]:
+		v.Reason = RecentRefusal
 	}
 	return v
 }
 
-// windowFor returns how many requests may wait for a decision where one that is to be decided on
-// within its time comes.
+// windowFor returns how many requests may await a decision when r arrives, given the time within which r's is due.
 func (g *Gate) windowFor(r Request) float64 {
-	return min(g.window, max(float64(r.Within/g.quick), leastWindow))
+	return min(g.window, max(float64(r.Within/g.minDecision), minWindow))
 }
 
-// Decided takes what was decided on a request that was let in.
+// Decided records the scheduler's decision on an admitted request.
 func (g *Gate) Decided(now model.Time, t Ticket, d Decision) {
-	g.count(t.request.Account, -1)
-	g.learn(now, t.request, d.Took)
-	s := subject{t.request.Account, t.request.Route}
+	g.addPending(t.request.Account, -1)
+	g.adjustWindow(now, t.request, d.Took)
+	s := refusalKey{t.request.Account, t.request.Route}
 	if !d.Refused {
-		delete(g.settled, s)
+		delete(g.refusals, s)
 		return
 	}
 	if d.Holds > 0 {
-		g.settled[s] = now + min(d.Holds, longestHold)
+		g.refusals[s] = now + min(d.Holds, maxRefusalTTL)
 	}
 }
 
-// learn moves the window by how long a decision has taken.
-func (g *Gate) learn(now model.Time, r Request, took time.Duration) {
+// adjustWindow adjusts the window by the time that a decision took.
+func (g *Gate) adjustWindow(now model.Time, r Request, took time.Duration) {
 	switch {
 	case took > r.Within:
-		g.late = now
-		if now >= g.cutUntil {
-			g.window = max(min(g.windowFor(r), firstWindow/cut)*cut, leastWindow)
-			g.cutUntil = now + took
+		g.lastLate = now
+		if now >= g.noDecreaseUntil {
+			g.window = max(min(g.windowFor(r), maxWindow/decreaseFactor)*decreaseFactor, minWindow)
+			g.noDecreaseUntil = now + took
 		}
 	case math.IsInf(g.window, 1):
-	case now > g.late+openAfter:
+	case now > g.lastLate+windowExpiry:
 		g.window = math.Inf(1)
-	case took <= time.Duration(enough*float64(r.Within)):
-		g.window = min(g.window+1/g.window, firstWindow)
+	case took <= time.Duration(growthThreshold*float64(r.Within)):
+		g.window = min(g.window+1/g.window, maxWindow)
 	}
 }
 
-// Ended takes that a request which was let in has ended, and carries no stream any more. It is told exactly once of each, after
-// Decided or Left.
+// Ended records the end of an admitted request, and of its stream. It is called exactly once for each, after Decided
+// or Left.
 func (g *Gate) Ended(t Ticket) {
 	if t.request.Stream {
-		g.carry.add(t.request.Account, -1)
+		g.streams.add(t.request.Account, -1)
 	}
 }
 
-// Carried returns how many streams are carried, and how many may be; infinite where turns come in time.
-func (g *Gate) Carried() (carried int, limit float64) { return g.carry.carried, g.carry.limit }
+// Carried returns the number of current streams and its limit, which is infinite while there is no scheduling delay.
+func (g *Gate) Carried() (active int, limit float64) { return g.streams.active, g.streams.limit }
 
-// Left takes back a request that has ended without a decision.
-func (g *Gate) Left(t Ticket) { g.count(t.request.Account, -1) }
+// Left records that an admitted request ended before a decision.
+func (g *Gate) Left(t Ticket) { g.addPending(t.request.Account, -1) }
 
-// Pending returns how many requests wait for a decision.
+// Pending returns the number of requests that await a decision.
 func (g *Gate) Pending() int { return g.pending }
 
-// Window returns how many requests may wait for a decision, as far as has been learned;
-// infinite where none was late.
+// Window returns how many requests may await a decision; infinite if there was no late decision.
 func (g *Gate) Window() float64 { return g.window }
 
-func (g *Gate) count(account model.AccountID, n int) {
+func (g *Gate) addPending(account model.AccountID, n int) {
 	g.pending += n
 	g.accounts[account] += n
 	if g.accounts[account] == 0 {
@@ -260,11 +255,11 @@
 	}
 }
 
-// Forget drops what is over. It is due now and then.
+// Forget deletes expired refusals. It must be called from time to time.
 func (g *Gate) Forget(now model.Time) {
-	for s, until := range g.settled {
+	for s, until := range g.refusals {
 		if now >= until {
-			delete(g.settled, s)
+			delete(g.refusals, s)
 		}
 	}
 }
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -23,8 +23,8 @@
 	return g.Arrive(now, Request{Account: account, Route: route, Within: within})
 }
 
-// TestBurstAtAnIdleRouterIsAdmitted lets sixty requests of one account come at the same moment.
-func TestBurstAtAnIdleRouterIsAdmitted(t *testing.T) {
+// TestIdleRouterAdmitsBurst checks that sixty simultaneous requests of one account are all admitted.
+func TestIdleRouterAdmitsBurst(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(0)
 	for range 60 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// slow makes a gate learn that decisions are late, until its window is small.
-func slow(g *Gate) model.Time {
+// narrowWindow reports late decisions to a gate until its window is small.
+func narrowWindow(g *Gate) model.Time {
 	now := model.Time(0)
 	for g.window > 8 {
 		_, ticket := admit(g, now, quiet)
@@ -44,20 +44,20 @@
 	return now
 }
 
-// router decides on what a gate lets in, one after the other.
-type router struct {
-	gate  *Gate
-	take  time.Duration // of a decision
-	queue []struct {
+// simulatedRouter decides on admitted requests one after the other.
+type simulatedRouter struct {
+	gate         *Gate
+	decisionTime time.Duration // duration of a decision
+	queue        []struct {
 		ticket Ticket
 		at     model.Time
 	}
-	free model.Time // when the next decision ends
+	free model.Time // end of the current decision
 }
 
-// run lets so many requests a second of one account come for so long, and returns how many were decided on and how
-// many of these late.
-func (r *router) run(perSecond int, from, until model.Time) (decided, late int) {
+// run sends perSecond requests a second of one account, and returns the number of decisions and how many of them were
+// late.
+func (r *simulatedRouter) run(perSecond int, from, until model.Time) (decided, late int) {
 	for now := from; now < until; now += time.Second / time.Duration(perSecond) {
 		for len(r.queue) > 0 && r.free <= now {
 			first := r.queue[0]
@@ -68,11 +68,11 @@
 			if took > within {
 				late++
 			}
-			r.free += r.take
+			r.free += r.decisionTime
 		}
 		if v, ticket := admit(r.gate, now, hot); v.Reason == Admitted {
 			if len(r.queue) == 0 {
-				r.free = max(r.free, now+r.take)
+				r.free = max(r.free, now+r.decisionTime)
 			}
 			r.queue = append(r.queue, struct {
 				ticket Ticket
@@ -83,12 +83,12 @@
 	return decided, late
 }
 
-// TestFloodIsBoundedByTime floods a router with 2,000 requests of one account a second that needs 5 ms for each: it
-// decides on as many as it can, nearly all in time, and another account still finds a place. When decisions get
-// quick again, so does the gate.
-func TestFloodIsBoundedByTime(t *testing.T) {
+// TestWindowLimitsLateDecisions sends 2,000 requests a second of one account to a router that needs 5 ms for each
+// decision. The router must make as many decisions as it can, nearly all in time, and still admit another account.
+// When decisions become fast again, the window must be removed.
+func TestWindowLimitsLateDecisions(t *testing.T) {
 	is := is.New(t)
-	r := &router{gate: NewGate(0.2), take: 5 * time.Millisecond}
+	r := &simulatedRouter{gate: NewGate(0.2), decisionTime: 5 * time.Millisecond}
 	r.run(2000, 0, time.Second)
 	decided, late := r.run(2000, time.Second, 5*time.Second)
 	t.Logf("%d decided, %d late, window %.0f", decided, late, r.gate.window)
@@ -96,24 +96,24 @@
 	is.True(late <= decided/4)
 	v, _ := admit(r.gate, 5*time.Second, quiet)
 	is.Equal(v.Reason, Admitted)
-	r.take = 100 * time.Microsecond
+	r.decisionTime = 100 * time.Microsecond
 	decided, late = r.run(2000, 5*time.Second, 6*time.Second)
 	is.True(decided >= 1900)
 	is.True(late <= 20)
 	r.run(2000, 6*time.Second, 8*time.Second)
-	is.True(math.IsInf(r.gate.Window(), 1)) // bursts are let in whole again
+	is.True(math.IsInf(r.gate.Window(), 1)) // bursts are admitted whole again
 }
 
-// TestRefusalSettlesOthersForAWhile refuses one request of an account on a router that is
-// short of time: the next of the route is refused by its header until the reason is over, one of
-// another route or account isn't, and none is on a router that has time.
-func TestRefusalSettlesOthersForAWhile(t *testing.T) {
+// TestRecentRefusalAppliesToAccountAndRoute checks that a refusal on a router under pressure applies to later requests
+// of the same account and route until it expires, and not to those of another route or account; and that it applies to
+// none on a router without pressure.
+func TestRecentRefusalAppliesToAccountAndRoute(t *testing.T) {
 	is := is.New(t)
-	for _, pressed := range []bool{true, false} {
+	for _, underPressure := range []bool{true, false} {
 		g := NewGate(0)
 		now := model.Time(0)
-		if pressed {
-			now = slow(g)
+		if underPressure {
+			now = narrowWindow(g)
 		}
 		_, first := admit(g, now, hot)
 		_, _ = admit(g, now, hot)
@@ -121,7 +121,7 @@
 		_, _ = admit(g, now, quiet)
 		g.Decided(now, first, Decision{Took: 4 * time.Millisecond, Refused: true, Holds: 20 * time.Millisecond})
 		v, _ := admit(g, now+10*time.Millisecond, hot)
-		is.Equal(v.Reason == Settled, pressed)
+		is.Equal(v.Reason == RecentRefusal, underPressure)
 		other, _ := g.Arrive(now+10*time.Millisecond, Request{Account: hot, Route: route + 1, Within: within})
 		is.Equal(other.Reason, Admitted)
 		v, _ = admit(g, now+10*time.Millisecond, quiet)
@@ -132,45 +132,46 @@
 	}
 }
 
-// TestDispatchEndsWhatIsSettled sends a request after a refusal: what was refused for isn't so any more.
-func TestDispatchEndsWhatIsSettled(t *testing.T) {
+// TestDispatchClearsRecentRefusal checks that a dispatch after a refusal clears the refusal, as its reason no longer
+// applies.
+func TestDispatchClearsRecentRefusal(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(0)
-	now := slow(g)
+	now := narrowWindow(g)
 	_, a := admit(g, now, hot)
 	_, b := admit(g, now, hot)
 	_, _ = admit(g, now, hot)
-	g.Decided(now, a, Decision{Took: 4 * time.Millisecond, Refused: true, Holds: longestHold})
+	g.Decided(now, a, Decision{Took: 4 * time.Millisecond, Refused: true, Holds: maxRefusalTTL})
 	g.Decided(now, b, Decision{Took: 4 * time.Millisecond})
 	v, _ := admit(g, now+time.Millisecond, hot)
 	is.Equal(v.Reason, Admitted)
 }
 
-// drawnGate is a gate under drawn arrivals, decisions and departures, with the tickets that are out.
-type drawnGate struct {
+// gateTest is a gate with randomly generated arrivals, decisions and cancellations, and the outstanding tickets.
+type gateTest struct {
 	*rapid.T
-	gate *Gate
-	now  model.Time
-	out  []Ticket
+	gate    *Gate
+	now     model.Time
+	tickets []Ticket
 }
 
-// arrive lets a request come: an account with none of its own is never refused.
-func (d *drawnGate) arrive() {
+// arrive lets a request arrive. A request of an account with none pending must not be refused.
+func (d *gateTest) arrive() {
 	account := model.AccountID(rapid.IntRange(1, 3).Draw(d.T, "account"))
 	own := d.gate.accounts[account]
 	v, ticket := admit(d.gate, d.now, account)
 	if v.Reason == Admitted {
-		d.out = append(d.out, ticket)
+		d.tickets = append(d.tickets, ticket)
 	} else if own == 0 {
-		d.Fatalf("%v though none of its own waits", v)
+		d.Fatalf("refused (%v) with no pending request of the account", v)
 	}
 }
 
-// end gives one of the tickets back.
-func (d *drawnGate) end() {
-	which := rapid.IntRange(0, len(d.out)-1).Draw(d.T, "which")
-	ticket := d.out[which]
-	d.out = append(d.out[:which], d.out[which+1:]...)
+// end returns one of the tickets.
+func (d *gateTest) end() {
+	which := rapid.IntRange(0, len(d.tickets)-1).Draw(d.T, "which")
+	ticket := d.tickets[which]
+	d.tickets = append(d.tickets[:which], d.tickets[which+1:]...)
 	if rapid.Bool().Draw(d.T, "left") {
 		d.gate.Left(ticket)
 		return
@@ -182,44 +183,44 @@
 	})
 }
 
-// check looks at the counts, the window, and for how long anything is held against anybody.
-func (d *drawnGate) check() {
-	if d.gate.Pending() != len(d.out) {
-		d.Fatalf("%d pending, %d tickets", d.gate.Pending(), len(d.out))
+// checkState checks the counts, the minimum window and the expiry of refusals.
+func (d *gateTest) checkState() {
+	if d.gate.Pending() != len(d.tickets) {
+		d.Fatalf("%d pending, %d tickets", d.gate.Pending(), len(d.tickets))
 	}
-	if d.gate.window < leastWindow {
-		d.Fatalf("a window of %f", d.gate.window)
+	if d.gate.window < minWindow {
+		d.Fatalf("window is %f", d.gate.window)
 	}
-	for _, until := range d.gate.settled {
-		if until > d.now+longestHold {
-			d.Fatal("held for too long")
+	for _, until := range d.gate.refusals {
+		if until > d.now+maxRefusalTTL {
+			d.Fatal("refusal expires too late")
 		}
 	}
 }
 
-// TestTicketsBalance draws arrivals, decisions and departures in any order.
+// TestTicketsBalance checks the counts under random sequences of arrivals, decisions and cancellations.
 func TestTicketsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &drawnGate{T: t, gate: NewGate(rapid.SampledFrom([]float64{0, 0.2, 1}).Draw(t, "processor"))}
+		d := &gateTest{T: t, gate: NewGate(rapid.SampledFrom([]float64{0, 0.2, 1}).Draw(t, "processor"))}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			d.now += time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond
-			if rapid.Bool().Draw(t, "arrives") || len(d.out) == 0 {
+			if rapid.Bool().Draw(t, "arrives") || len(d.tickets) == 0 {
 				d.arrive()
 			} else {
 				d.end()
 			}
-			d.check()
+			d.checkState()
 		}
-		for _, ticket := range d.out {
+		for _, ticket := range d.tickets {
 			d.gate.Left(ticket)
 		}
 		if d.gate.Pending() != 0 || len(d.gate.accounts) != 0 {
-			t.Fatal("something is left")
+			t.Fatal("requests still pending after all tickets were returned")
 		}
 	})
 }
 
-// BenchmarkArrive is what the gate adds to each request, with many pending.
+// BenchmarkArrive measures what the gate adds to each request, with many pending.
 func BenchmarkArrive(b *testing.B) {
 	g := NewGate(0)
 	for range 1000 {
