--- a/core/claims/claims.go
+++ b/core/claims/claims.go
@@ -1,30 +1,25 @@
-// Package claims decides who holds an idempotency key, so that a request that
-// may not be repeated runs at most once.
+// Package claims decides which holder has an idempotency key, so that a request that may not be repeated runs at most
+// once.
 //
-// A key is claimed by writing it, with a holder that is unique to the attempt,
-// into the platform's store before the request is sent. Claims never lapse: a
-// router that is paused after its claim and goes on later is still the only
-// one that may send. What has to be ruled out is that two holders both take
-// their swap for won, and the store's compare-and-swap does that.
+// A key is claimed by writing it, with a holder that is unique to the attempt, to the platform's store before the
+// request is sent. Claims don't expire: a router that is paused after its claim and resumes later is still the only
+// one that may send. Two holders must never both consider their swap successful, which the store's compare-and-swap
+// guarantees.
 //
-// Keys are spread over shards. The claims of a shard that wait are committed
-// together, by one swap of the shard's head, at a pace that keeps all shards
-// within their part of the store's writes. Any router may commit a shard; that
-// they mostly leave it to one only saves writes.
+// Keys are distributed over shards. The pending claims of a shard are committed together, by one swap of the shard's
+// head, at a rate that keeps all shards within their share of the store's writes. Any router may commit a shard;
+// leaving it mostly to one only saves writes.
 //
-// The head holds the newest claims. When it is full they are sealed: written to
-// a slot, from which the next head drops them by naming the slot and the
-// revision that they were sealed from. Slots are used in turn, so that the store
-// holds a bounded number of values, and the oldest claims are forgotten:
-// Segments*SegmentSize of a shard are remembered at the least.
+// The head contains the newest claims. When it is full they are sealed: written to a slot, after which the next head
+// omits them and refers to the slot by its number and the head revision that they were sealed from. Slots are reused
+// in turn, so that the store holds a bounded number of values and the oldest claims are discarded: at least the last
+// Segments*SegmentSize claims of a shard are kept.
 //
-// A swap whose answer is lost is settled by reading the head back. If the
-// claims are there it took effect. If not, the same claims are swapped in again
-// on the revision read; should the lost swap still arrive, only one of the two
-// can win, and the one that fails reads the head again.
+// A swap whose response is lost is resolved by reading the head back. If it contains the claims, the swap took effect.
+// If not, the same claims are swapped in again on the revision read; should the lost swap still arrive, only one of
+// the two can succeed, and the one that fails reads the head again.
 //
-// Shard is a deterministic machine: it asks for one store call at a time and is
-// told the result.
+// Shard is a deterministic state machine: it requests one store call at a time and receives the result.
 package claims
 
 import (
@@ -40,12 +35,12 @@
 	SegmentSize = 512
 	// Segments is the number of full segments that are kept.
 	Segments = 64
-	// maxTries is how often a claim is tried while the store fails.
-	maxTries = 3
-	// retryPause is the pause after a store call that failed.
-	retryPause = 50 * time.Millisecond
-	// maxWaiting bounds the claims that wait in a shard.
-	maxWaiting = 20000
+	// maxAttempts is how often a claim is attempted while the store fails.
+	maxAttempts = 3
+	// retryDelay is the delay after a failed store call.
+	retryDelay = 50 * time.Millisecond
+	// maxPending limits the pending claims of a shard.
+	maxPending = 20000
 )
 
 // Key is the hash of a client account and its idempotency key.
@@ -59,27 +54,27 @@
 
 // The outcomes of a claim.
 const (
-	// Unavailable: the store fails, so it isn't known that the key is held. It
-	// may be, and should be released.
+	// Unavailable means that the store failed and it is unknown whether the holder has the key. It may have it, and
+	// should release it.
 	Unavailable Result = iota
-	// Held: the holder has the key, and nobody else ever had it.
+	// Held means that the holder has the key, and no other holder ever had it.
 	Held
-	// Taken: another holder had the key first.
+	// Taken means that another holder had the key first.
 	Taken
 )
 
-// String returns the result as a word.
+// String returns the name of the result.
 func (r Result) String() string {
 	return [...]string{"unavailable", "held", "taken"}[r]
 }
 
-// Op is what is asked of a shard: to claim a key, or to give it back.
+// Op is an operation on a shard: a claim of a key, or its release.
 type Op struct {
-	ID      uint64 // of the caller's choice; 0 wants no answer
-	Key     Key
-	Holder  Holder
-	Release bool
-	tries   int
+	ID       uint64 // chosen by the caller; 0 requests no answer
+	Key      Key
+	Holder   Holder
+	Release  bool
+	attempts int
 }
 
 // Answer is the outcome of an Op.
@@ -88,10 +83,10 @@
 	Result Result
 }
 
-// CallKind is what a shard wants of the store.
+// CallKind is the kind of a store call.
 type CallKind uint8
 
-// The calls of the store.
+// The kinds of store calls.
 const (
 	ReadHead CallKind = iota
 	ReadSlot
@@ -99,201 +94,198 @@
 	SwapHead
 )
 
-// Call is one call of the store.
+// Call is one store call.
 type Call struct {
 	Kind     CallKind
 	Slot     int   // of ReadSlot and SwapSlot
-	Revision int64 // of SwapSlot and SwapHead: what must still be there
+	Revision int64 // of SwapSlot and SwapHead: the expected current revision
 	Data     []byte
 }
 
-// Reply is the result of a Call. For a read, or a swap that failed on what is
-// there, Data and Revision are what is there; for a swap that took effect,
-// Revision is the new one.
+// Reply is the result of a Call. For a read, or a swap that failed because of another revision, Data and Revision are
+// the current ones; for a swap that took effect, Revision is the new one.
 type Reply struct {
-	Failed   bool // with or without effect
+	Failed   bool // the call may or may not have taken effect
 	Swapped  bool
 	Revision int64
 	Data     []byte
 }
 
-// Pace is how many swaps a shard may make, on the average and at once.
+// Pace is the limit of a shard's swaps: an average rate and a burst.
 type Pace struct {
 	PerSecond float64
 	Burst     float64
 }
 
-// Shard is the machine of one shard.
+// Shard is the state machine of one shard.
 type Shard struct {
-	pace    Pace
-	tokens  float64
-	filled  model.Time
-	waiting []Op
-	batch   []Op
-	call    *Call // under way
-	resume  model.Time
+	pace     Pace
+	tokens   float64
+	refilled model.Time
+	pending  []Op
+	batch    []Op
+	call     *Call // in progress
+	retryAt  model.Time
 
-	known     bool // head and revision are the last known
-	head      *wire.ClaimHead
-	revision  int64
-	recent    map[Key]Holder // of the head
-	sealed    map[uint64]segment
-	slots     map[int]int64 // revision of each slot's value, as last known
-	sealing   bool          // the slot for the present head has been written
-	slotKnown bool
+	headValid   bool // head and revision are the last known ones
+	head        *wire.ClaimHead
+	revision    int64
+	headClaims  map[Key]Holder // the claims in head
+	segments    map[uint64]segment
+	slots       map[int]int64 // last known revision of each slot's value
+	slotWritten bool          // the slot for the current head has been written
+	slotKnown   bool
 }
 
-// segment is a full segment that has been read.
+// segment is a sealed segment that has been read.
 type segment struct {
 	revision int64
 	claims   map[Key]Holder
 }
 
-// NewShard returns the machine of a shard of which nothing is known yet.
+// NewShard returns the state machine of a shard with no known state.
 func NewShard(pace Pace) *Shard {
-	return &Shard{pace: pace, tokens: pace.Burst, sealed: map[uint64]segment{}, slots: map[int]int64{}}
+	return &Shard{pace: pace, tokens: pace.Burst, segments: map[uint64]segment{}, slots: map[int]int64{}}
 }
 
-// Ask adds an operation. It is answered at once where the shard has too many.
+// Ask adds an operation. If too many are pending, it is answered at once as Unavailable.
 func (s *Shard) Ask(op Op) []Answer {
-	if len(s.waiting) >= maxWaiting {
-		return answers(op, Unavailable)
+	if len(s.pending) >= maxPending {
+		return answersFor(op, Unavailable)
 	}
-	s.waiting = append(s.waiting, op)
+	s.pending = append(s.pending, op)
 	return nil
 }
 
-func answers(op Op, r Result) []Answer {
+func answersFor(op Op, r Result) []Answer {
 	if op.ID == 0 {
 		return nil
 	}
 	return []Answer{{ID: op.ID, Result: r}}
 }
 
-// Wake returns when Next has something to do, given that no call is under way.
+// Wake returns the time at which Next has something to do, and false if nothing is pending or a call is in progress.
 func (s *Shard) Wake(now model.Time) (model.Time, bool) {
-	if s.call != nil || len(s.waiting)+len(s.batch) == 0 {
+	if s.call != nil || len(s.pending)+len(s.batch) == 0 {
 		return 0, false
 	}
-	wake := max(now, s.resume)
+	wake := max(now, s.retryAt)
 	if s.tokens < 1 {
 		short := (1 - s.tokens) / s.pace.PerSecond
-		wake = max(wake, s.filled+time.Duration(short*float64(time.Second))+time.Microsecond)
+		wake = max(wake, s.refilled+time.Duration(short*float64(time.Second))+time.Microsecond)
 	}
 	return wake, true
 }
 
-// Next returns the call of the store that is due, or nil, and the answers that
-// are known without one.
+// Next returns the store call that is due, or nil, and the answers that need no call.
 func (s *Shard) Next(now model.Time) (*Call, []Answer) {
-	s.tokens = min(s.tokens+(now-s.filled).Seconds()*s.pace.PerSecond, s.pace.Burst)
-	s.filled = now
-	if s.call != nil || now < s.resume || len(s.waiting)+len(s.batch) == 0 {
+	s.tokens = min(s.tokens+(now-s.refilled).Seconds()*s.pace.PerSecond, s.pace.Burst)
+	s.refilled = now
+	if s.call != nil || now < s.retryAt || len(s.pending)+len(s.batch) == 0 {
 		return nil, nil
 	}
-	if !s.known {
-		return s.make(&Call{Kind: ReadHead}), nil
+	if !s.headValid {
+		return s.startCall(&Call{Kind: ReadHead}), nil
 	}
-	if slot, missing := s.missingSlot(); missing {
-		return s.make(&Call{Kind: ReadSlot, Slot: slot}), nil
+	if slot, missing := s.unreadSlot(); missing {
+		return s.startCall(&Call{Kind: ReadSlot, Slot: slot}), nil
 	}
-	out := s.settle()
-	if len(s.waiting)+len(s.batch) == 0 || s.tokens < 1 {
+	out := s.resolve()
+	if len(s.pending)+len(s.batch) == 0 || s.tokens < 1 {
 		return nil, out
 	}
-	s.batch = append(s.batch, s.waiting...)
-	s.waiting = nil
+	s.batch = append(s.batch, s.pending...)
+	s.pending = nil
 	return s.commit(), out
 }
 
-func (s *Shard) make(c *Call) *Call {
+func (s *Shard) startCall(c *Call) *Call {
 	s.call = c
 	return c
 }
 
-// holderOf returns who holds a key, by what is known.
+// holderOf returns the holder of a key in the known head and segments.
 func (s *Shard) holderOf(key Key) (Holder, bool) {
-	if h, ok := s.recent[key]; ok {
+	if h, ok := s.headClaims[key]; ok {
 		return h, true
 	}
 	for _, ref := range s.head.Sealed {
-		if h, ok := s.sealed[ref.Number].claims[key]; ok {
+		if h, ok := s.segments[ref.Number].claims[key]; ok {
 			return h, true
 		}
 	}
 	return Holder{}, false
 }
 
-// settle answers what can be answered from what is known: claims that are held
-// or taken, and releases of what isn't held.
-func (s *Shard) settle() []Answer {
+// resolve answers what the known state decides: claims of keys that are held or taken, and releases of keys that the
+// holder doesn't have in the head.
+func (s *Shard) resolve() []Answer {
 	var out []Answer
-	settled := func(op Op) bool {
+	resolved := func(op Op) bool {
 		holder, claimed := s.holderOf(op.Key)
-		_, fresh := s.recent[op.Key]
+		_, inHead := s.headClaims[op.Key]
 		switch {
-		case op.Release && claimed && holder == op.Holder && fresh:
+		case op.Release && claimed && holder == op.Holder && inHead:
 			return false
 		case op.Release:
-			out = append(out, answers(op, Held)...)
+			out = append(out, answersFor(op, Held)...)
 			return true
 		case !claimed:
 			return false
 		case holder == op.Holder:
-			out = append(out, answers(op, Held)...)
+			out = append(out, answersFor(op, Held)...)
 			return true
 		}
-		out = append(out, answers(op, Taken)...)
+		out = append(out, answersFor(op, Taken)...)
 		return true
 	}
-	s.batch = slices.DeleteFunc(s.batch, settled)
-	s.waiting = slices.DeleteFunc(s.waiting, settled)
+	s.batch = slices.DeleteFunc(s.batch, resolved)
+	s.pending = slices.DeleteFunc(s.pending, resolved)
 	return out
 }
 
-// Done takes the result of the call under way and returns the answers that are
-// known by it.
+// Done receives the result of the call in progress and returns the answers that follow from it.
 func (s *Shard) Done(now model.Time, r Reply) []Answer {
 	call := s.call
 	s.call = nil
 	if r.Failed {
-		return s.failed(now)
+		return s.handleFailure(now)
 	}
 	switch call.Kind {
 	case ReadHead:
-		return s.takeHead(now, r)
+		return s.handleHead(now, r)
 	case ReadSlot:
-		return s.takeSlot(now, call.Slot, r)
+		return s.handleSlot(now, call.Slot, r)
 	case SwapSlot:
 		s.slots[call.Slot] = r.Revision
-		s.sealing = r.Swapped
-		s.tokens++ // the head's swap follows at once
+		s.slotWritten = r.Swapped
+		s.tokens++ // the swap of the head follows immediately
 		return nil
 	case SwapHead:
-		return s.takeSwap(now, call, r)
+		return s.handleSwap(now, call, r)
 	}
 	return nil
 }
 
-// failed gives up on the claims that have been tried often enough. The others,
-// and all releases, are tried again from the head as it then is.
-func (s *Shard) failed(now model.Time) []Answer {
-	s.known = false
-	s.sealing = false
-	s.resume = now + retryPause
+// handleFailure answers the claims with no attempts left as Unavailable. The others, and all releases, are retried
+// after the head has been read again.
+func (s *Shard) handleFailure(now model.Time) []Answer {
+	s.headValid = false
+	s.slotWritten = false
+	s.retryAt = now + retryDelay
 	var out []Answer
-	giveUp := func(op Op) bool {
-		if op.Release || op.tries < maxTries {
+	exhausted := func(op Op) bool {
+		if op.Release || op.attempts < maxAttempts {
 			return false
 		}
-		out = append(out, answers(op, Unavailable)...)
+		out = append(out, answersFor(op, Unavailable)...)
 		return true
 	}
-	s.batch = append(s.batch, s.waiting...)
-	s.waiting = nil
+	s.batch = append(s.batch, s.pending...)
+	s.pending = nil
 	for i := range s.batch {
-		s.batch[i].tries++
+		s.batch[i].attempts++
 	}
-	s.batch = slices.DeleteFunc(s.batch, giveUp)
+	s.batch = slices.DeleteFunc(s.batch, exhausted)
 	return out
 }
--- a/core/claims/claims_test.go
+++ b/core/claims/claims_test.go
@@ -16,23 +16,23 @@
 
 func TestMain(m *testing.M) { os.Exit(proptest.Main(m)) }
 
-// store is a compare-and-swap store in memory.
+// store is an in-memory compare-and-swap store.
 type store struct {
 	values   map[string]Reply
 	revision int64
 	swaps    int
 }
 
-func nameOf(c Call) string {
+func keyOf(c Call) string {
 	if c.Kind == ReadHead || c.Kind == SwapHead {
 		return "head"
 	}
 	return fmt.Sprint("slot-", c.Slot)
 }
 
-// do carries out a call.
+// do executes a call.
 func (s *store) do(c Call) Reply {
-	name := nameOf(c)
+	name := keyOf(c)
 	now := s.values[name]
 	if c.Kind == ReadHead || c.Kind == ReadSlot {
 		return now
@@ -46,32 +46,32 @@
 	return Reply{Swapped: true, Revision: s.revision}
 }
 
-// claimant is one router that commits the shard.
-type claimant struct {
-	shard *Shard
-	call  *Call  // made, and not yet carried out
-	late  []Call // lost on their way, and maybe still to arrive
+// router is one router that commits the shard.
+type router struct {
+	shard   *Shard
+	call    *Call  // requested, and not yet executed
+	delayed []Call // reported as failed, and possibly executed later
 }
 
-// world is several routers that commit one shard at the same time.
-type world struct {
-	t       *rapid.T
-	store   *store
-	routers []*claimant
-	now     model.Time
-	nextID  uint64
-	asked   map[uint64]porcupine.Operation
-	history []porcupine.Operation
+// cluster is several routers that commit one shard concurrently.
+type cluster struct {
+	t          *rapid.T
+	store      *store
+	routers    []*router
+	now        model.Time
+	nextID     uint64
+	unanswered map[uint64]porcupine.Operation
+	history    []porcupine.Operation
 }
 
-// claimInput is an operation of the history.
+// claimInput is the input of an operation of the history.
 type claimInput struct {
 	key    Key
 	holder Holder
 }
 
-// claimModel is a shard that has one holder for each key. A claim whose outcome
-// is unavailable may or may not have had its effect.
+// claimModel is a shard with one holder for each key. A claim whose outcome is unavailable may or may not have taken
+// effect.
 var claimModel = (&porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[Key][]porcupine.Operation{}
@@ -110,56 +110,55 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-func (w *world) answered(answers []Answer) {
+func (w *cluster) recordAnswers(answers []Answer) {
 	for _, a := range answers {
-		op, ok := w.asked[a.ID]
+		op, ok := w.unanswered[a.ID]
 		if !ok {
-			w.t.Fatalf("answer %d twice, or to nothing", a.ID)
+			w.t.Fatalf("answer %d is repeated or belongs to no operation", a.ID)
 		}
-		delete(w.asked, a.ID)
+		delete(w.unanswered, a.ID)
 		op.Output = a.Result
 		op.Return = int64(w.now)
 		w.history = append(w.history, op)
 	}
 }
 
-func (w *world) ask(client int, key byte) {
+func (w *cluster) submit(client int, key byte) {
 	w.nextID++
 	in := claimInput{key: Key{key}, holder: Holder{byte(w.nextID), byte(w.nextID >> 8), 1}}
-	w.asked[w.nextID] = porcupine.Operation{ClientId: client, Input: in, Call: int64(w.now)}
-	w.answered(w.routers[client].shard.Ask(Op{ID: w.nextID, Key: in.key, Holder: in.holder}))
+	w.unanswered[w.nextID] = porcupine.Operation{ClientId: client, Input: in, Call: int64(w.now)}
+	w.recordAnswers(w.routers[client].shard.Ask(Op{ID: w.nextID, Key: in.key, Holder: in.holder}))
 }
 
-// step lets one router do one thing: make its next call, or have the call that
-// it has made carried out, with or without its answer.
-func (w *world) step(c *claimant, fate string) {
+// step lets one router request its next call, or executes the call that it has requested, with or without a response.
+func (w *cluster) step(c *router, loss string) {
 	w.now += time.Millisecond
 	if c.call == nil {
 		call, answers := c.shard.Next(w.now)
-		w.answered(answers)
+		w.recordAnswers(answers)
 		c.call = call
 		return
 	}
 	call := *c.call
 	c.call = nil
-	switch fate {
+	switch loss {
 	case "lost before":
-		w.answered(c.shard.Done(w.now, Reply{Failed: true}))
+		w.recordAnswers(c.shard.Done(w.now, Reply{Failed: true}))
 	case "lost after":
 		w.store.do(call)
-		w.answered(c.shard.Done(w.now, Reply{Failed: true}))
+		w.recordAnswers(c.shard.Done(w.now, Reply{Failed: true}))
 	case "late":
-		c.late = append(c.late, call)
-		w.answered(c.shard.Done(w.now, Reply{Failed: true}))
+		c.delayed = append(c.delayed, call)
+		w.recordAnswers(c.shard.Done(w.now, Reply{Failed: true}))
 	default:
-		w.answered(c.shard.Done(w.now, w.store.do(call)))
+		w.recordAnswers(c.shard.Done(w.now, w.store.do(call)))
 	}
 }
 
-// settle lets everything come to its end with the store in order.
-func (w *world) settle() {
+// finish runs all routers with a working store until all claims are answered.
+func (w *cluster) finish() {
 	for range 3000 {
-		if len(w.asked) == 0 {
+		if len(w.unanswered) == 0 {
 			return
 		}
 		w.now += 100 * time.Millisecond
@@ -167,44 +166,43 @@
 			w.step(c, "")
 		}
 	}
-	w.t.Fatalf("%d claims are never answered", len(w.asked))
+	w.t.Fatalf("%d claims were not answered", len(w.unanswered))
 }
 
-// Property: whatever happens to the store's calls and their answers, and however
-// the routers that commit a shard are interleaved or paused, each key has one
-// holder.
+// TestClaimsAreLinearizable checks that each key has one holder, whatever happens to store calls and their responses,
+// and however the routers that commit a shard are interleaved or paused.
 func TestClaimsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, store: &store{values: map[string]Reply{}}, asked: map[uint64]porcupine.Operation{}}
+		w := &cluster{t: t, store: &store{values: map[string]Reply{}}, unanswered: map[uint64]porcupine.Operation{}}
 		for range rapid.IntRange(1, 3).Draw(t, "routers") {
-			w.routers = append(w.routers, &claimant{shard: NewShard(Pace{PerSecond: 1e6, Burst: 100})})
+			w.routers = append(w.routers, &router{shard: NewShard(Pace{PerSecond: 1e6, Burst: 100})})
 		}
-		fates := []string{"", "", "", "lost before", "lost after", "late"}
+		losses := []string{"", "", "", "lost before", "lost after", "late"}
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")
 			c := w.routers[i]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
-				w.ask(i, byte(rapid.IntRange(1, 4).Draw(t, "key")))
+				w.submit(i, byte(rapid.IntRange(1, 4).Draw(t, "key")))
 			case 3:
-				if len(c.late) > 0 {
-					w.store.do(c.late[0])
-					c.late = c.late[1:]
+				if len(c.delayed) > 0 {
+					w.store.do(c.delayed[0])
+					c.delayed = c.delayed[1:]
 				}
 			case 4:
 				w.now += 60 * time.Millisecond
 			default:
-				w.step(c, rapid.SampledFrom(fates).Draw(t, "fate"))
+				w.step(c, rapid.SampledFrom(losses).Draw(t, "fate"))
 			}
 		}
-		w.settle()
+		w.finish()
 		if !porcupine.CheckOperations(claimModel, w.history) {
-			t.Fatalf("no order of these %d claims explains their answers", len(w.history))
+			t.Fatalf("the history of %d claims is not linearizable", len(w.history))
 		}
 	})
 }
 
-// Claims outlive the sealing of their segment, and a new router finds them.
+// TestSealedClaimsAreFound checks that a new router finds claims whose segment has been sealed.
 func TestSealedClaimsAreFound(t *testing.T) {
 	is := is.New(t)
 	s := &store{values: map[string]Reply{}}
@@ -242,8 +240,8 @@
 	}
 }
 
-// Claims that wait together are committed by one swap.
-func TestClaimsAreCommittedTogether(t *testing.T) {
+// TestClaimsAreBatched checks that pending claims are committed by one swap.
+func TestClaimsAreBatched(t *testing.T) {
 	is := is.New(t)
 	s := &store{values: map[string]Reply{}}
 	shard := NewShard(Pace{PerSecond: 3, Burst: 1})
@@ -263,7 +261,7 @@
 	is.True(held >= 250)
 }
 
-// A key that is given back can be claimed again.
+// TestReleasedKeysAreFree checks that a released key can be claimed again.
 func TestReleasedKeysAreFree(t *testing.T) {
 	is := is.New(t)
 	s := &store{values: map[string]Reply{}}
--- a/core/claims/commit.go
+++ b/core/claims/commit.go
@@ -9,11 +9,10 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// missingSlot returns a slot whose segment the head names and that hasn't been
-// read.
-func (s *Shard) missingSlot() (int, bool) {
+// unreadSlot returns a slot that the head refers to and whose segment hasn't been read.
+func (s *Shard) unreadSlot() (int, bool) {
 	for _, ref := range s.head.Sealed {
-		if got, ok := s.sealed[ref.Number]; !ok || got.revision != ref.Revision {
+		if got, ok := s.segments[ref.Number]; !ok || got.revision != ref.Revision {
 			return slotOf(ref.Number), true
 		}
 	}
@@ -22,18 +21,18 @@
 
 func slotOf(number uint64) int { return int(number % Segments) }
 
-// commit makes the swap that carries the batch, or the sealing before it.
+// commit returns the swap that commits the batch, or the write of the slot that must precede it.
 func (s *Shard) commit() *Call {
 	s.tokens--
-	if len(s.head.Entries)+len(s.batch) > SegmentSize && len(s.head.Entries) > 0 && !s.sealing {
-		return s.make(s.sealCall())
+	if len(s.head.Entries)+len(s.batch) > SegmentSize && len(s.head.Entries) > 0 && !s.slotWritten {
+		return s.startCall(s.sealCall())
 	}
 	next := s.nextHead()
 	data, err := proto.Marshal(next)
 	if err != nil {
 		data = nil
 	}
-	return s.make(&Call{Kind: SwapHead, Revision: s.revision, Data: data})
+	return s.startCall(&Call{Kind: SwapHead, Revision: s.revision, Data: data})
 }
 
 func (s *Shard) sealCall() *Call {
@@ -47,10 +46,10 @@
 	return &Call{Kind: SwapSlot, Slot: slot, Revision: s.slots[slot], Data: data}
 }
 
-// nextHead returns the head that follows, with the batch in it.
+// nextHead returns the next head, which includes the batch.
 func (s *Shard) nextHead() *wire.ClaimHead {
 	next := &wire.ClaimHead{Number: s.head.Number, Sealed: s.head.Sealed, Entries: s.head.Entries}
-	if s.sealing {
+	if s.slotWritten {
 		next.Number++
 		next.Sealed = append(slices.Clone(next.Sealed), &wire.ClaimSlot{Number: s.head.Number, Revision: s.revision})
 		next.Sealed = next.Sealed[max(0, len(next.Sealed)-Segments+1):]
@@ -74,10 +73,10 @@
 	return next
 }
 
-func (s *Shard) takeHead(now model.Time, r Reply) []Answer {
+func (s *Shard) handleHead(now model.Time, r Reply) []Answer {
 	head := &wire.ClaimHead{}
 	if err := proto.Unmarshal(r.Data, head); err != nil {
-		return s.failed(now)
+		return s.handleFailure(now)
 	}
 	s.setHead(head, r.Revision)
 	return nil
@@ -86,21 +85,21 @@
 func (s *Shard) setHead(head *wire.ClaimHead, revision int64) {
 	s.head = head
 	s.revision = revision
-	s.known = true
-	s.sealing = false
-	s.recent = claimsOf(head.Entries)
-	named := map[uint64]bool{}
+	s.headValid = true
+	s.slotWritten = false
+	s.headClaims = claimsByKey(head.Entries)
+	referenced := map[uint64]bool{}
 	for _, ref := range head.Sealed {
-		named[ref.Number] = true
+		referenced[ref.Number] = true
 	}
-	for number := range s.sealed {
-		if !named[number] {
-			delete(s.sealed, number)
+	for number := range s.segments {
+		if !referenced[number] {
+			delete(s.segments, number)
 		}
 	}
 }
 
-func claimsOf(entries []*wire.ClaimEntry) map[Key]Holder {
+func claimsByKey(entries []*wire.ClaimEntry) map[Key]Holder {
 	out := make(map[Key]Holder, len(entries))
 	for _, e := range entries {
 		if len(e.Key) == len(Key{}) && len(e.Holder) == len(Holder{}) {
@@ -110,39 +109,38 @@
 	return out
 }
 
-// takeSlot takes a sealed segment. One that doesn't fit the head means that the
-// head has moved on since.
-func (s *Shard) takeSlot(now model.Time, slot int, r Reply) []Answer {
+// handleSlot stores a sealed segment. If the head doesn't refer to it, the head has changed since.
+func (s *Shard) handleSlot(now model.Time, slot int, r Reply) []Answer {
 	s.slots[slot] = r.Revision
 	g := &wire.ClaimSegment{}
 	if err := proto.Unmarshal(r.Data, g); err != nil {
-		return s.failed(now)
+		return s.handleFailure(now)
 	}
 	for _, ref := range s.head.Sealed {
 		if ref.Number == g.Number && ref.Revision == g.Revision {
-			s.sealed[g.Number] = segment{revision: g.Revision, claims: claimsOf(g.Entries)}
+			s.segments[g.Number] = segment{revision: g.Revision, claims: claimsByKey(g.Entries)}
 			return nil
 		}
 	}
-	return s.failed(now)
+	return s.handleFailure(now)
 }
 
-// takeSwap takes the result of a head's swap. What failed on another's swap is
-// tried again on what is there.
-func (s *Shard) takeSwap(now model.Time, call *Call, r Reply) []Answer {
+// handleSwap handles the result of a swap of the head. A swap that failed because of another router's is retried on
+// the current head.
+func (s *Shard) handleSwap(now model.Time, call *Call, r Reply) []Answer {
 	if !r.Swapped {
-		return s.takeHead(now, r)
+		return s.handleHead(now, r)
 	}
 	next := &wire.ClaimHead{}
 	if err := proto.Unmarshal(call.Data, next); err != nil {
-		return s.failed(now)
+		return s.handleFailure(now)
 	}
 	if next.Number > s.head.Number {
-		s.sealed[s.head.Number] = segment{revision: s.revision, claims: s.recent}
+		s.segments[s.head.Number] = segment{revision: s.revision, claims: s.headClaims}
 	}
 	s.setHead(next, r.Revision)
-	out := s.settle()
-	s.waiting = append(s.batch, s.waiting...)
+	out := s.resolve()
+	s.pending = append(s.batch, s.pending...)
 	s.batch = nil
 	return out
 }
