--- a/core/cold/cold.go
+++ b/core/cold/cold.go
@@ -1,19 +1,18 @@
-// Package cold bounds what a fleet of routers sends to a backend server that is slow from
-// its start, with no message between the routers.
+// Package cold limits the rate at which a fleet of routers sends to a backend server that is slow after its start,
+// without messages between the routers.
 //
-// A cold backend server bears few requests a second from all routers together, and falls
-// over well above that. Routers can't ask each other before each request, and what they
-// hear of each other is late. So only a few of them, its senders, may send to it at all:
-// the first on a ring of the routers that are known, the dead ones included, as a cut makes
-// others seem dead that send on. Each sender has a fixed part of half of
-// the bound; the other half is left to routers that know other routers, and so take others
-// for the senders. The senders of different backend servers differ, so that together the
-// routers use all that the cold ones bear.
+// A cold backend server can process few requests a second from all routers together, and fails well above that rate.
+// Routers can't coordinate before each request, and their information about each other is delayed. So only a few
+// routers, the senders of a backend server, may send to it at all: the first on a hash ring of all known routers. The
+// ring includes dead routers, as a network partition makes routers seem dead that still send. Each sender has a fixed
+// quota within half of the bound; the other half is left to routers with another view of the fleet, and so with other
+// senders. Different backend servers have different senders, so that together the routers use the whole capacity of
+// the cold ones.
 //
 // # Limits
 //
-// The bound holds while the fleet has no more than two views of which routers there are. A
-// router that hasn't been told of the others must not send to a cold backend server.
+// The bound holds while there are at most two different views of the fleet's routers. A router that hasn't yet
+// received the fleet's members must not send to a cold backend server.
 package cold
 
 import (
@@ -24,28 +23,27 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// senders is how many routers send to a cold backend server. More would have less than two
-// requests a second each at the usual bound of 14, which a single caller's burst takes up.
-const senders = 3
+// maxSenders is the number of routers that send to a cold backend server. With more, each would have less than two
+// requests a second at the usual bound of 14, which a single caller's burst uses up.
+const maxSenders = 3
 
-// span is the time over which requests are counted: the second of the bound, and what two
-// messages of one router may differ by on their way.
-const span = time.Second + 50*time.Millisecond
+// window is the period over which requests are counted: the bound's second, and the difference in latency between two
+// messages of one router.
+const window = time.Second + 50*time.Millisecond
 
-// Limits say how far above its rate a cold backend server may be sent to.
+// Limits define how far the rate of a cold backend server may be exceeded.
 type Limits struct {
-	Overshoot float64 // times the rate
-	Slack     float64 // requests beyond that
+	Overshoot float64 // factor of the rate
+	Slack     float64 // additional requests
 }
 
-// Bound returns how many requests a cold backend server may get in any second, given the
-// rate that it takes, in requests a second.
+// Bound returns the maximum number of requests to a cold backend server within any second, given its rate in requests
+// a second.
 func (l Limits) Bound(rate float64) int { return int(rate*l.Overshoot + l.Slack) }
 
-// Ring is the routers that are known, in the order of the hashes of their names. The senders
-// of a backend server are the first from the hash of its name on, so that another router
-// changes the senders of few backend servers, and finding them takes 0.1 us however many
-// routers there are: when a data hall comes back, a thousand are looked up at once.
+// Ring is a hash ring of the known routers. The senders of a backend server are the first routers from the hash of its
+// name on. So a change of one router changes the senders of few backend servers, and a lookup takes 0.1 us whatever
+// the number of routers: when a data hall recovers, a thousand are looked up at once.
 type Ring struct{ points []point }
 
 type point struct {
@@ -53,7 +51,7 @@
 	router string
 }
 
-// NewRing returns the ring of all routers that are known, dead ones and this one included.
+// NewRing returns the ring of all known routers, including dead ones and this one.
 func NewRing(routers []string) *Ring {
 	r := &Ring{points: make([]point, 0, len(routers))}
 	for _, name := range routers {
@@ -67,11 +65,11 @@
 
 func hashOf(name string) uint64 { return model.Rendezvous(name, "cold") }
 
-// Part returns how many requests in any second a router may send to a cold backend server,
-// for a bound over the fleet.
+// Part returns the maximum number of requests that a router may send to a cold backend server within any second, given
+// the fleet's bound.
 func (r *Ring) Part(self, server string, bound int) int {
-	n := min(senders, len(r.points))
-	first, _ := slices.BinarySearchFunc(r.points, hashOf(server), func(p point, hash uint64) int {
+	n := min(maxSenders, len(r.points))
+	start, _ := slices.BinarySearchFunc(r.points, hashOf(server), func(p point, hash uint64) int {
 		return cmp.Compare(p.hash, hash)
 	})
 	half := (bound + 1) / 2
@@ -79,33 +77,33 @@
 		half = bound / 2
 	}
 	for rank := range n {
-		if r.points[(first+rank)%len(r.points)].router != self {
+		if r.points[(start+rank)%len(r.points)].router != self {
 			continue
 		}
-		part := half / n
+		quota := half / n
 		if rank < half%n {
-			part++
+			quota++
 		}
-		return part
+		return quota
 	}
 	return 0
 }
 
-// Meter counts what this router has sent to one backend server of late.
+// Meter counts the requests that this router has recently sent to one backend server.
 type Meter struct{ sent []model.Time }
 
-// Note counts a request that is sent.
+// Note records that a request is sent.
 func (m *Meter) Note(now model.Time) {
-	m.forget(now)
+	m.removeExpired(now)
 	m.sent = append(m.sent, now)
 }
 
-// Sent returns how many requests were sent of late.
+// Sent returns the number of requests sent within the window.
 func (m *Meter) Sent(now model.Time) int {
-	m.forget(now)
+	m.removeExpired(now)
 	return len(m.sent)
 }
 
-func (m *Meter) forget(now model.Time) {
-	m.sent = slices.DeleteFunc(m.sent, func(at model.Time) bool { return at+span <= now })
+func (m *Meter) removeExpired(now model.Time) {
+	m.sent = slices.DeleteFunc(m.sent, func(at model.Time) bool { return at+window <= now })
 }
--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { os.Exit(proptest.Main(m)) }
 
-// names returns the names of so many routers.
+// names returns n router names.
 func names(n int) []string {
 	var out []string
 	for i := range n {
@@ -24,9 +24,8 @@
 	return out
 }
 
-// TestPartsOfTwoViewsKeepTheBound adds up what routers may send whose fleet has come apart
-// into two views of which routers there are, of any sizes.
-func TestPartsOfTwoViewsKeepTheBound(t *testing.T) {
+// TestTwoViewsKeepTheBound adds up the quotas of a fleet that is split into two views of its routers, of any sizes.
+func TestTwoViewsKeepTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := names(rapid.IntRange(1, 70).Draw(t, "routers"))
 		bound := rapid.IntRange(2, 60).Draw(t, "bound")
@@ -45,13 +44,13 @@
 			sum += rings[view].Part(router, "engine", bound)
 		}
 		if sum > bound {
-			t.Fatalf("%d requests a second for %d", sum, bound)
+			t.Fatalf("%d requests a second exceed the bound of %d", sum, bound)
 		}
 	})
 }
 
-// TestPartsAreWorthwhile asks for what all routers of one view may send.
-func TestPartsAreWorthwhile(t *testing.T) {
+// TestQuotasAddUpToHalfTheBound adds up the quotas of all routers with the same view.
+func TestQuotasAddUpToHalfTheBound(t *testing.T) {
 	is := is.New(t)
 	bound := Limits{Overshoot: 1.5, Slack: 5}.Bound(6.1)
 	is.Equal(bound, 14)
@@ -69,8 +68,8 @@
 	is.Equal(NewRing(nil).Part("router-0", "engine", 14), 0)
 }
 
-// TestPartsSpreadOverRouters counts the cold backend servers that each router sends to.
-func TestPartsSpreadOverRouters(t *testing.T) {
+// TestQuotasAreSpreadOverRouters counts the cold backend servers that each router sends to.
+func TestQuotasAreSpreadOverRouters(t *testing.T) {
 	is := is.New(t)
 	fleet := names(64)
 	ring := NewRing(fleet)
@@ -90,33 +89,33 @@
 	is.True(none <= 4)
 }
 
-// TestMeterNeverPasses sends whenever a meter lets it, and counts each second.
-func TestMeterNeverPasses(t *testing.T) {
+// TestMeterKeepsTheQuota sends whenever the meter's count is below the quota, and checks each second.
+func TestMeterKeepsTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		part := rapid.IntRange(0, 5).Draw(t, "part")
+		quota := rapid.IntRange(0, 5).Draw(t, "part")
 		var meter Meter
 		var sent []model.Time
 		now := model.Time(0)
 		for range 200 {
 			now += model.Time(rapid.Int64Range(0, int64(400*time.Millisecond)).Draw(t, "pause"))
-			if meter.Sent(now) >= part {
+			if meter.Sent(now) >= quota {
 				continue
 			}
 			meter.Note(now)
 			sent = append(sent, now)
 		}
-		for i := part; i < len(sent); i++ {
-			if sent[i]-sent[i-part] <= time.Second {
-				t.Fatalf("%d requests within a second", part+1)
+		for i := quota; i < len(sent); i++ {
+			if sent[i]-sent[i-quota] <= time.Second {
+				t.Fatalf("at least %d requests within a second", quota+1)
 			}
 		}
-		if part == 0 && len(sent) > 0 {
-			t.Fatal("sent without a part")
+		if quota == 0 && len(sent) > 0 {
+			t.Fatal("request sent with a quota of 0")
 		}
 	})
 }
 
-// BenchmarkPart measures finding a router's part of a cold backend server.
+// BenchmarkPart measures the lookup of a router's quota.
 func BenchmarkPart(b *testing.B) {
 	for _, routers := range []int{9, 64, 520} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
--- a/core/estimate/estimate.go
+++ b/core/estimate/estimate.go
@@ -1,34 +1,32 @@
-// Package estimate learns how many output tokens a request is still to
-// produce, from the requests of the same kind that have finished.
+// Package estimate predicts how many output tokens a request is still to produce, from finished requests of the same
+// kind.
 //
-// The lengths seen are kept in buckets, eight to a doubling, whose counts
-// fade as new ones come in. The rest expected of a request that has produced
-// n tokens is the mean of the lengths above n, less n. For heavy-tailed
-// lengths this differs greatly from the plain mean: a request that has passed
-// the mean has, on the average, much more to come.
+// Observed lengths are counted in buckets, eight to a doubling, whose counts decay with each new observation. The
+// remaining length expected of a request that has produced n tokens is the mean of the lengths above n, less n. For
+// heavy-tailed lengths this differs greatly from the overall mean: a request that has passed the mean has, on average,
+// much more to come.
 package estimate
 
 import "math"
 
 const (
-	perDoubling = 8
-	buckets     = 20 * perDoubling // lengths up to 2^20 tokens
-	// fade is the factor by which an old observation counts less with each new one.
-	fade = 0.998
-	// priorWeight is how many observations the prior is worth.
+	bucketsPerDoubling = 8
+	buckets            = 20 * bucketsPerDoubling // lengths up to 2^20 tokens
+	// decay is the factor by which the weight of earlier observations decreases with each new one.
+	decay = 0.998
+	// priorWeight is the weight of the prior in observations.
 	priorWeight = 2.0
 )
 
-// Lengths is the distribution of the output lengths of one kind of request.
-// The zero value is not usable; see New.
+// Lengths is the distribution of the output lengths of one kind of request. Use New to create one.
 type Lengths struct {
 	prior float64
-	unit  float64 // weight of the newest observation, grows as the old ones fade
+	unit  float64 // weight of the newest observation, which grows as the earlier ones decay
 	count [buckets]float64
 	sum   [buckets]float64
 }
 
-// New returns a distribution that expects prior tokens until it has learned.
+// New returns a distribution that expects prior tokens until there are observations.
 func New(prior float64) *Lengths {
 	return &Lengths{prior: prior, unit: 1}
 }
@@ -37,14 +35,14 @@
 	if tokens < 1 {
 		return 0
 	}
-	b := int(math.Log2(tokens) * perDoubling)
+	b := int(math.Log2(tokens) * bucketsPerDoubling)
 	return min(b, buckets-1)
 }
 
 // Observe records the output length of a finished request, in tokens.
 func (l *Lengths) Observe(tokens float64) {
 	b := bucketOf(tokens)
-	l.unit /= fade
+	l.unit /= decay
 	l.count[b] += l.unit
 	l.sum[b] += l.unit * tokens
 	if l.unit > 1e12 {
@@ -60,7 +58,7 @@
 	l.unit = 1
 }
 
-// Rest returns the tokens still expected of a request that has produced n.
+// Rest returns the number of tokens still expected of a request that has produced n, at least 1.
 func (l *Lengths) Rest(n float64) float64 {
 	var count, sum float64
 	for b := bucketOf(n); b < buckets; b++ {
@@ -72,6 +70,6 @@
 	}
 	prior := max(l.prior, n/2)
 	weight := priorWeight * l.unit
-	rest := sum - n*count + prior*weight
-	return max(rest/(count+weight), 1)
+	remaining := sum - n*count + prior*weight
+	return max(remaining/(count+weight), 1)
 }
--- a/core/holding/holding.go
+++ b/core/holding/holding.go
@@ -1,20 +1,22 @@
-// Package holding decides what a router holds for its callers, in bytes, and what gives way where that is too much.
+// Package holding limits how many bytes a router buffers for its callers, and decides what is refused above the limit.
 //
-// Two things are held: bodies of requests, from when they are read until the request has ended, and answers that
-// are read whole before they are handed on, until their caller has taken them. They give way in this order:
+// Two kinds of data are buffered: request bodies, from when they are read until the request ends, and responses that
+// are read whole before they are passed on, until the caller has received them. Under memory pressure they are limited
+// in this order:
 //
-//  1. A large body is refused before it is read, from the part BodyPart of the limit on.
-//  2. An answer that doesn't fit into the limit isn't held: it is passed on in small parts, and its backend server waits
-//     for its caller. It can't be asked for again once it breaks off, and its place there isn't free until it is taken.
+//  1. A large body is refused before it is read, from the fraction LargeBodyFraction of the limit on.
+//  2. A response that doesn't fit within the limit isn't buffered: it is passed on in small parts, at the caller's
+//     pace. It then can't be requested again if it breaks off, and it occupies its slot at the backend server until
+//     the caller has received it.
 //
-// Nothing that is held is broken off for it: what is beyond the limit are small bodies, and those whose length
+// Nothing that is already buffered is dropped. The limit can be exceeded by small bodies and by bodies whose length
 // isn't known before they are read.
 package holding
 
-// Kind is what is held.
+// Kind is the kind of buffered data.
 type Kind uint8
 
-// The kinds of what is held.
+// The kinds of buffered data.
 const (
 	Body Kind = iota
 	Answer
@@ -22,31 +24,31 @@
 )
 
 const (
-	// BodyPart is the part of the limit from which on large bodies are refused, so that answers to what is there
-	// find room.
-	BodyPart = 0.5
-	// SmallBody is the size of the largest body, in bytes, that is never refused.
+	// LargeBodyFraction is the fraction of the limit from which on large bodies are refused, so that the responses to admitted
+	// requests have space.
+	LargeBodyFraction = 0.5
+	// SmallBody is the size in bytes of the largest body that is never refused.
 	SmallBody = 16 << 10
 )
 
-// Budget is what a router may hold, and holds.
+// Budget counts the buffered bytes and limits them.
 type Budget struct {
 	limit int
 	held  [kinds]int
 }
 
-// New returns a budget of bytes.
+// New returns a budget with a limit in bytes.
 func New(limit int) *Budget { return &Budget{limit: limit} }
 
-// Limit returns how many bytes may be held.
+// Limit returns the limit in bytes.
 func (b *Budget) Limit() int { return b.limit }
 
-// Held returns how many bytes of a kind are held.
+// Held returns the number of buffered bytes of a kind.
 func (b *Budget) Held(k Kind) int { return b.held[k] }
 
-func (b *Budget) all() int { return b.held[Body] + b.held[Answer] }
+func (b *Budget) total() int { return b.held[Body] + b.held[Answer] }
 
-// Take takes room for something of a kind, and tells whether there is any.
+// Take reserves bytes for data of a kind, and reports whether they were available.
 func (b *Budget) Take(k Kind, bytes int) bool {
 	if !b.fits(k, bytes) {
 		return false
@@ -61,13 +63,13 @@
 		if bytes <= SmallBody {
 			return true
 		}
-		limit *= BodyPart
+		limit *= LargeBodyFraction
 	}
-	return float64(b.all()+bytes) <= limit
+	return float64(b.total()+bytes) <= limit
 }
 
-// Change changes how much of something is held, once its size is known.
+// Change changes the size of a reservation, for instance once the size of the data is known.
 func (b *Budget) Change(k Kind, from, to int) { b.held[k] += to - from }
 
-// Return gives room back.
+// Return releases a reservation.
 func (b *Budget) Return(k Kind, bytes int) { b.Change(k, bytes, 0) }
