--- a/core/holding/holding.go
+++ b/core/holding/holding.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// LargeBodyFraction is the fraction of the limit from which on large bodies are refused, so that the responses to admitted
-	// requests have space.
+	// LargeBodyFraction is the fraction of the limit from which on large bodies are refused, so that the responses to
+	// admitted requests have space.
 	LargeBodyFraction = 0.5
 	// SmallBody is the size in bytes of the largest body that is never refused.
 	SmallBody = 16 << 10
--- a/core/ledger/exchange.go
+++ b/core/ledger/exchange.go
@@ -8,17 +8,17 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// entry is one account in one message.
+// entry is the state of one account in one message.
 type entry struct {
 	key     model.Key
 	service amount
 	state
 }
 
-// The bits of an entry's state on the wire, below the running requests.
+// The bits of an entry's encoded state, below the number of running requests.
 const (
 	backloggedBit = 1
-	carriedBit    = 2
+	continuousBit = 2
 	runningShift  = 2
 )
 
@@ -27,17 +27,17 @@
 	if s.backlogged {
 		bits |= backloggedBit
 	}
-	if s.carried {
-		bits |= carriedBit
+	if s.continuous {
+		bits |= continuousBit
 	}
 	return bits
 }
 
 func stateOf(bits uint32) state {
-	return state{backlogged: bits&backloggedBit != 0, carried: bits&carriedBit != 0, running: bits >> runningShift}
+	return state{backlogged: bits&backloggedBit != 0, continuous: bits&continuousBit != 0, running: bits >> runningShift}
 }
 
-// columnsOf puts entries, ordered by key, into the form they are sent in.
+// columnsOf encodes entries, which are ordered by key.
 func columnsOf(entries []entry) []*wire.Column {
 	var out []*wire.Column
 	var c *wire.Column
@@ -61,7 +61,7 @@
 	return out
 }
 
-// entriesOf reads entries; a column whose lists differ in length is left out.
+// entriesOf decodes entries. A column whose lists differ in length is skipped.
 func entriesOf(columns []*wire.Column) []entry {
 	var out []entry
 	for _, c := range columns {
@@ -84,91 +84,89 @@
 	return out
 }
 
-// up makes the next Up: the accounts that changed of late or have work, as
-// cumulative amounts.
-func (l *Ledger) up(now model.Time) Send {
+// buildUp returns the next Up: the cumulative amounts of the accounts that changed recently or have requests.
+func (l *Ledger) buildUp(now model.Time) Send {
 	p := l.parent
 	p.sequence++
-	snap := snapshot{subtree: map[model.Key]amount{}, children: map[string]mark{}, at: now}
+	snap := snapshot{subtree: map[model.Key]amount{}, children: map[string]childPosition{}, at: now}
 	var entries []entry
 	for _, key := range l.order {
-		if p.downSeen == 0 {
-			break // the parent's reign isn't known yet, and so what to say
+		if p.lastDown == 0 {
+			break // the parent's term, and so the amounts to report, are unknown
 		}
 		a := l.accounts[key]
 		s := l.subtreeState(key, a)
-		if !s.backlogged && s.running == 0 && a.subtree == a.confirmed && now > a.touched+quietFor {
+		if !s.backlogged && s.running == 0 && a.subtree == a.confirmed && now > a.lastChange+reportPeriod {
 			continue
 		}
 		snap.subtree[key] = a.subtree
 		entries = append(entries, entry{key, a.subtree.minus(p.base[key]), s})
 	}
 	for name, c := range l.children {
-		snap.children[name] = mark{c.attachment, c.sequence}
+		snap.children[name] = childPosition{c.attachment, c.sequence}
 	}
 	p.sent[p.sequence] = snap
-	delete(p.sent, p.sequence-unconfirmedUps)
+	delete(p.sent, p.sequence-maxUnconfirmedUps)
 	up := &wire.Up{Attachment: p.attachment, Sequence: p.sequence, Columns: columnsOf(entries)}
-	if p.wantsView && l.known {
-		up.View = &wire.Down{Root: l.reign.root, Term: l.reign.term, Columns: l.amounts(now, true)}
+	if p.viewRequested && l.hasView {
+		up.View = &wire.Down{Root: l.term.root, Term: l.term.number, Columns: l.amounts(now, true)}
 	}
-	up.NoView = p.wantsView && !l.known
-	l.nextUp = now + paced(len(entries), 1)
-	return Send{To: p.parent, Up: up}
+	up.NoView = p.viewRequested && !l.hasView
+	l.nextUp = now + messageInterval(len(entries), 1)
+	return Send{To: p.name, Up: up}
 }
 
-// amounts returns the fleet's service: of all accounts, or of those that have
-// work or changed of late.
+// amounts returns the fleet's service: of all accounts, or of those that changed recently or have requests.
 func (l *Ledger) amounts(now model.Time, all bool) []*wire.Column {
 	var entries []entry
 	for _, key := range l.order {
 		a := l.accounts[key]
-		if all || a.backlogged || a.running > 0 || now <= a.touched+quietFor {
+		if all || a.backlogged || a.running > 0 || now <= a.lastChange+reportPeriod {
 			entries = append(entries, entry{key, amount{given: a.virtual}, state{a.backlogged, a.unlifted, a.running}})
 		}
 	}
 	return columnsOf(entries)
 }
 
-// downs makes the next Down for each child.
-func (l *Ledger) downs(now model.Time) []Send {
+// buildDowns returns the next Down for each child.
+func (l *Ledger) buildDowns(now model.Time) []Send {
 	l.downSeq++
-	l.fresh = false
+	l.downPending = false
 	columns := l.amounts(now, false)
 	var out []Send
-	for _, kid := range l.kids {
+	for _, child := range l.childPeers {
 		down := &wire.Down{
-			Root: l.reign.root, Term: l.reign.term,
-			FromRoot: l.from.root, FromTerm: l.from.term,
+			Root: l.term.root, Term: l.term.number,
+			FromRoot: l.previous.root, FromTerm: l.previous.number,
 			Sequence: l.downSeq, Columns: columns,
 		}
-		if c := l.children[kid.Name]; c != nil {
+		if c := l.children[child.Name]; c != nil {
 			down.Attachment = c.attachment
 			down.IncludedSequence = c.included
 			if l.isRoot {
 				down.IncludedSequence = c.sequence
 			}
 		}
-		out = append(out, Send{To: kid.Name, Down: down})
+		out = append(out, Send{To: child.Name, Down: down})
 	}
 	entries := 0
 	for _, c := range columns {
 		entries += len(c.Accounts)
 	}
-	l.nextDown = now + paced(entries, len(l.kids))
+	l.nextDown = now + messageInterval(entries, len(l.childPeers))
 	return out
 }
 
-// ReceiveUp takes a child's service.
+// ReceiveUp handles an Up from a child.
 func (l *Ledger) ReceiveUp(now model.Time, from string, up *wire.Up) []Send {
-	if !l.isKid(from) {
+	if !l.isChild(from) {
 		return nil
 	}
-	c := l.childOf(from, up.Attachment)
+	c := l.linkFor(from, up.Attachment)
 	if up.Sequence <= c.sequence {
 		return nil
 	}
-	if l.isRoot && !l.known {
+	if l.isRoot && !l.hasView {
 		c.noView = up.NoView
 		if up.View == nil {
 			return []Send{{To: from, Down: &wire.Down{Attachment: up.Attachment}}}
@@ -176,30 +174,29 @@
 		l.adopt(up.View)
 	}
 	c.sequence = up.Sequence
-	l.takeEntries(now, c, entriesOf(up.Columns))
+	l.applyEntries(now, c, entriesOf(up.Columns))
 	return nil
 }
 
-// adopt continues a view of the fleet's service, on top of which stands what
-// this router has taken in itself since its start.
+// adopt continues a view of the fleet's service, and adds to it what this router has received since its start.
 func (l *Ledger) adopt(view *wire.Down) {
-	l.reign = reign{root: view.Root, term: view.Term}
+	l.term = rootTerm{root: view.Root, number: view.Term}
 	for _, e := range entriesOf(view.Columns) {
-		a := l.get(e.key)
+		a := l.accountFor(e.key)
 		a.virtual += e.service.given
 		a.backlogged = e.backlogged
-		a.unlifted = e.carried
+		a.unlifted = e.continuous
 	}
-	l.beginReign()
+	l.startTerm()
 }
 
-func (l *Ledger) takeEntries(now model.Time, c *child, entries []entry) {
+func (l *Ledger) applyEntries(now model.Time, c *childLink, entries []entry) {
 	last := make(map[model.Key]entry, len(entries))
 	for _, e := range entries {
-		a := l.get(e.key)
+		a := l.accountFor(e.key)
 		if more := e.service.minus(c.last[e.key].service); more != (amount{}) {
-			l.take(a, more)
-			a.touched = now
+			l.addService(a, more)
+			a.lastChange = now
 		}
 		last[e.key] = e
 	}
@@ -213,55 +210,54 @@
 		return
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(last), model.Key.Compare) {
-		l.refreshRoot(now, key, l.accounts[key])
+		l.updateFleetState(now, key, l.accounts[key])
 	}
 }
 
-// ReceiveDown takes the fleet's service from the parent.
+// ReceiveDown handles a Down from the parent.
 func (l *Ledger) ReceiveDown(now model.Time, from string, down *wire.Down) {
 	p := l.parent
-	if p == nil || p.parent != from || down.Attachment != p.attachment {
+	if p == nil || p.name != from || down.Attachment != p.attachment {
 		return
 	}
 	if down.Root == "" {
 		l.offerView(now)
 		return
 	}
-	stale := down.Root == l.reign.root && down.Term < l.reign.term
-	if stale || down.Sequence <= p.downSeen {
+	stale := down.Root == l.term.root && down.Term < l.term.number
+	if stale || down.Sequence <= p.lastDown {
 		return
 	}
-	p.downSeen = down.Sequence
-	p.wantsView = false
-	if told := (reign{root: down.Root, term: down.Term}); told != l.reign {
-		l.carry(l.reign == reign{root: down.FromRoot, term: down.FromTerm})
-		l.yieldReign(down)
-		l.reign = told
+	p.lastDown = down.Sequence
+	p.viewRequested = false
+	if received := (rootTerm{root: down.Root, number: down.Term}); received != l.term {
+		l.markContinuous(l.term == rootTerm{root: down.FromRoot, number: down.FromTerm})
+		l.handOver(down)
+		l.term = received
 	}
-	l.from = reign{root: down.FromRoot, term: down.FromTerm}
-	l.known = true
-	l.fresh = true
+	l.previous = rootTerm{root: down.FromRoot, number: down.FromTerm}
+	l.hasView = true
+	l.downPending = true
 	l.confirm(now, down.IncludedSequence)
-	l.takeDown(now, entriesOf(down.Columns))
+	l.applyDown(now, entriesOf(down.Columns))
 }
 
-// offerView sends this router's view to a parent that has none, where it has one
-// itself.
+// offerView sends this router's view, if it has one, to a parent without a view.
 func (l *Ledger) offerView(now model.Time) {
-	if l.known && !l.parent.wantsView {
+	if l.hasView && !l.parent.viewRequested {
 		l.nextUp = now
 	}
-	l.parent.wantsView = true
+	l.parent.viewRequested = true
 }
 
-// confirm marks what the Up of that sequence carried as part of the amounts.
+// confirm records that the amounts include the Up with the given sequence number.
 func (l *Ledger) confirm(now model.Time, sequence uint64) {
 	p := l.parent
 	snap, ok := p.sent[sequence]
 	if !ok {
 		return
 	}
-	l.loop = now - snap.at
+	l.roundTrip = now - snap.at
 	for key, subtree := range snap.subtree {
 		l.accounts[key].confirmed = subtree
 	}
@@ -277,21 +273,21 @@
 	}
 }
 
-func (l *Ledger) takeDown(now model.Time, entries []entry) {
-	told := make(map[model.Key]bool, len(entries))
+func (l *Ledger) applyDown(now model.Time, entries []entry) {
+	reported := make(map[model.Key]bool, len(entries))
 	for _, e := range entries {
-		a := l.get(e.key)
+		a := l.accountFor(e.key)
 		if a.virtual != e.service.given {
-			a.touched = now
+			a.lastChange = now
 		}
 		a.virtual = e.service.given
 		a.backlogged = e.backlogged
-		a.unlifted = e.carried
+		a.unlifted = e.continuous
 		a.running = e.running
-		told[e.key] = true
+		reported[e.key] = true
 	}
 	for key, a := range l.accounts {
-		if !told[key] {
+		if !reported[key] {
 			a.backlogged = false
 			a.running = 0
 		}
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -11,21 +11,21 @@
 
 var testAccount = model.Key{Pool: 1, Account: 2}
 
-func newTest(name string) *Ledger {
+func newTestLedger(name string) *Ledger {
 	id := uint64(len(name))
 	return New(name, 0, func() uint64 { id += 1000; return id }, func(model.Key) model.Service { return 0 })
 }
 
-// two returns a root and its only child, which know each other.
-func two() (root, child *Ledger, order []Peer) {
-	root, child = newTest("root"), newTest("child")
+// newPair returns a root and its only child, attached to each other.
+func newPair() (root, child *Ledger, order []Peer) {
+	root, child = newTestLedger("root"), newTestLedger("child")
 	order = []Peer{{Name: "root", Boot: 1}, {Name: "child", Boot: 2}}
 	root.SetTree(0, order)
 	child.SetTree(0, order)
 	return root, child, order
 }
 
-// exchange lets both send what is due for a while.
+// exchange delivers the messages that are due at both routers over a period.
 func exchange(root, child *Ledger, from, to model.Time) {
 	for now := from; now < to; now += 10 * time.Millisecond {
 		for _, s := range child.Tick(now) {
@@ -39,9 +39,9 @@
 	}
 }
 
-func TestServiceGoesUpAndDown(t *testing.T) {
+func TestServiceReachesRootAndChildren(t *testing.T) {
 	is := is.New(t)
-	root, child, _ := two()
+	root, child, _ := newPair()
 	child.Add(0, testAccount, 100)
 	root.Add(0, testAccount, 7)
 	exchange(root, child, 0, 2*time.Second)
@@ -50,11 +50,11 @@
 	is.Equal(child.Own(testAccount), model.Service(100))
 }
 
-// A parent that gives up a child and takes it back, unknown to the child, counts
-// the child's service once.
-func TestChildThatIsTakenBack(t *testing.T) {
+// TestReattachedChildIsCountedOnce checks that a child's service is counted once when its parent drops it and accepts
+// it again, which the child doesn't notice.
+func TestReattachedChildIsCountedOnce(t *testing.T) {
 	is := is.New(t)
-	root, child, order := two()
+	root, child, order := newPair()
 	child.Add(0, testAccount, 100)
 	exchange(root, child, 0, 2*time.Second)
 	root.SetTree(2*time.Second, order[:1])
@@ -64,24 +64,24 @@
 	is.Equal(root.Virtual(testAccount), model.Service(101))
 }
 
-// A root that has lost its memory takes its child's view.
-func TestRootWithoutMemory(t *testing.T) {
+// TestRestartedRootAdoptsView checks that a root that has restarted without state continues its child's view.
+func TestRestartedRootAdoptsView(t *testing.T) {
 	is := is.New(t)
-	root, child, order := two()
+	root, child, order := newPair()
 	child.Add(0, testAccount, 100)
 	exchange(root, child, 0, 2*time.Second)
-	again := newTest("root")
+	restarted := newTestLedger("root")
 	order[0].Boot = 3
-	again.SetTree(2*time.Second, order)
+	restarted.SetTree(2*time.Second, order)
 	child.SetTree(2*time.Second, order)
-	exchange(again, child, 2*time.Second, 5*time.Second)
-	is.Equal(again.Virtual(testAccount), model.Service(100))
+	exchange(restarted, child, 2*time.Second, 5*time.Second)
+	is.Equal(restarted.Virtual(testAccount), model.Service(100))
 }
 
-// An account that comes back from idle is lifted to the least of the others.
+// TestLift checks that an account that returns from idle is lifted to the least service of the others.
 func TestLift(t *testing.T) {
 	is := is.New(t)
-	l := newTest("alone")
+	l := newTestLedger("alone")
 	other := model.Key{Pool: 1, Account: 3}
 	l.SetBusy(0, other, true, 0)
 	l.Add(0, other, 5000)
--- a/core/ledger/lift.go
+++ b/core/ledger/lift.go
@@ -4,51 +4,50 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// carry marks the accounts that have been backlogged here since before a new
-// reign.
-func (l *Ledger) carry(continues bool) {
+// markContinuous marks the accounts that have been backlogged here since before a new term. continues reports whether
+// the new term continues the previous one.
+func (l *Ledger) markContinuous(continues bool) {
 	for _, a := range l.accounts {
 		before := a.unlifted
 		if continues {
 			before = a.backlogged
 		}
-		a.carried = a.ownBusy && before
+		a.continuous = a.localBacklogged && before
 	}
 }
 
-// state is what there is of an account in a subtree.
+// state is the state of an account in a subtree.
 type state struct {
 	backlogged bool
-	carried    bool // backlogged since before the present reign
+	continuous bool // backlogged since before the current term
 	running    uint32
 }
 
 func (l *Ledger) subtreeState(key model.Key, a *account) state {
-	s := state{backlogged: a.ownBusy, carried: a.carried, running: a.ownRunning}
+	s := state{backlogged: a.localBacklogged, continuous: a.continuous, running: a.localRunning}
 	for _, c := range l.children {
 		e := c.last[key]
 		s.backlogged = s.backlogged || e.backlogged
-		s.carried = s.carried || e.carried
+		s.continuous = s.continuous || e.continuous
 		s.running += e.running
 	}
 	return s
 }
 
-// refreshRoot works out an account's state over the fleet and lifts it where it
-// has come back from idle.
-func (l *Ledger) refreshRoot(now model.Time, key model.Key, a *account) {
+// updateFleetState computes an account's state over the fleet, at the root, and lifts it if it has returned from idle.
+func (l *Ledger) updateFleetState(now model.Time, key model.Key, a *account) {
 	s := l.subtreeState(key, a)
 	a.running = s.running
 	switch {
-	case s.carried && a.lifted >= l.cutSince:
+	case s.continuous && a.liftedAt >= l.partitionStart:
 		a.virtual -= a.credit
 		a.credit = 0
-	case s.backlogged && !a.backlogged && !s.carried:
+	case s.backlogged && !a.backlogged && !s.continuous:
 		l.lift(now, key, a)
 		a.unlifted = false
 	}
 	a.backlogged = s.backlogged
-	a.unlifted = a.unlifted && s.backlogged || s.carried
+	a.unlifted = a.unlifted && s.backlogged || s.continuous
 }
 
 func (l *Ledger) lift(now model.Time, key model.Key, a *account) {
@@ -60,21 +59,20 @@
 	if raise <= 0 {
 		return
 	}
-	if a.lifted < l.cutSince {
+	if a.liftedAt < l.partitionStart {
 		a.credit = 0
 	}
 	a.virtual += raise
 	a.credit += raise
-	a.lifted = now
+	a.liftedAt = now
 }
 
-// delivered returns an account's virtual service without what its running
-// requests count for beyond their deliveries.
+// delivered returns an account's virtual service without the charge for its running requests beyond their deliveries.
 func (l *Ledger) delivered(key model.Key, a *account) model.Service {
 	return l.virtual(a) - l.charge(key)*model.Service(a.running)
 }
 
-// least returns the least that an account backlogged in a pool was delivered.
+// least returns the least delivered service of the accounts that are backlogged in a pool.
 func (l *Ledger) least(pool model.PoolID) (model.Service, bool) {
 	var least model.Service
 	found := false
@@ -90,11 +88,11 @@
 	return least, found
 }
 
-// raiseFloors keeps, for each pool, the least that its backlogged accounts were
-// delivered; where none is left the busy period is over, and the floor becomes
-// the greatest of all. A new root first waits to hear who is backlogged.
+// raiseFloors updates each pool's floor to the least delivered service of its backlogged accounts. If there is none
+// the busy period is over, and the floor becomes the greatest delivered service of all accounts. A new root first
+// waits for reports of backlogged accounts.
 func (l *Ledger) raiseFloors(now model.Time) {
-	if len(l.kids) > 0 && now < l.started+settling {
+	if len(l.childPeers) > 0 && now < l.started+settleTime {
 		return
 	}
 	for i := 0; i < len(l.order); {
@@ -111,28 +109,27 @@
 	}
 }
 
-// Standings returns a function that gives an account's place in the order of a
-// pool: its virtual service, lifted where the root doesn't know yet that the
-// account is backlogged and so hasn't lifted it.
+// Standings returns a function that returns an account's position in the order of a pool: its virtual service, lifted
+// if the root hasn't yet received that the account is backlogged and so hasn't lifted it.
 func (l *Ledger) Standings(pool model.PoolID) func(model.Key) model.Service {
-	least, some := l.least(pool)
+	least, found := l.least(pool)
 	return func(key model.Key) model.Service {
 		a := l.accounts[key]
 		switch {
 		case a == nil:
 			return least
-		case a.backlogged || !some:
+		case a.backlogged || !found:
 			return l.virtual(a)
 		}
 		return max(l.virtual(a), least+l.charge(key)*model.Service(a.running))
 	}
 }
 
-// Active returns how many accounts have work in a pool, waiting or running.
+// Active returns the number of accounts with waiting or running requests in a pool.
 func (l *Ledger) Active(pool model.PoolID) int {
 	count := 0
 	for _, key := range l.inPool(pool) {
-		if a := l.accounts[key]; a.backlogged || a.running > 0 || a.ownRunning > 0 {
+		if a := l.accounts[key]; a.backlogged || a.running > 0 || a.localRunning > 0 {
 			count++
 		}
 	}
--- a/core/ledger/tree.go
+++ b/core/ledger/tree.go
@@ -14,62 +14,61 @@
 	Boot uint64
 }
 
-// child is the link to a child.
-type child struct {
+// childLink is the link to a child.
+type childLink struct {
 	attachment uint64
 	sequence   uint64
 	last       map[model.Key]entry
-	included   uint64 // sequence whose service is in what the root has sent down
-	noView     bool   // it has no view of the fleet's service
+	included   uint64 // sequence number of the last Up included in the amounts that the root has sent down
+	noView     bool   // the child has no view of the fleet's service
 }
 
-// attached is the link to the parent.
-type attached struct {
-	parent     string
-	boot       uint64
-	attachment uint64
-	sequence   uint64
-	base       map[model.Key]amount // subtree that counts as sent before
-	sent       map[uint64]snapshot
-	downSeen   uint64 // sequence of the last Down taken
-	wantsView  bool
+// parentLink is the link to the parent.
+type parentLink struct {
+	name          string
+	boot          uint64
+	attachment    uint64
+	sequence      uint64
+	base          map[model.Key]amount // amounts of the subtree that were confirmed before the attachment
+	sent          map[uint64]snapshot
+	lastDown      uint64 // sequence number of the last Down accepted
+	viewRequested bool
 }
 
-// mark is how far a child's service had come in.
-type mark struct {
+// childPosition is the last Up received from a child.
+type childPosition struct {
 	attachment uint64
 	sequence   uint64
 }
 
-// snapshot is what an Up included, kept until it is confirmed.
+// snapshot is what an Up included, stored until it is confirmed.
 type snapshot struct {
 	subtree  map[model.Key]amount
-	children map[string]mark
+	children map[string]childPosition
 	at       model.Time
 }
 
-// reign is the time of one root.
-type reign struct {
-	root string
-	term uint64
+// rootTerm identifies a period in which a router is root.
+type rootTerm struct {
+	root   string
+	number uint64
 }
 
-// SetTree takes the routers in the tree's order: the first is the root, and
-// the children of the one at i are at Fanout*i+1 and on. Where the list doesn't
-// have the router itself, it is alone.
+// SetTree sets the routers in the tree's order: the first is the root, and the children of the one at index i begin at
+// index Fanout*i+1. If the list doesn't contain this router, the tree consists of this router alone.
 func (l *Ledger) SetTree(now model.Time, order []Peer) {
 	at := slices.IndexFunc(order, func(p Peer) bool { return p.Name == l.self })
 	if at < 0 {
 		order, at = []Peer{{Name: l.self}}, 0
 	}
-	first := min(Fanout*at+1, len(order))
-	alone := len(l.kids) == 0
-	l.kids = slices.Clone(order[first:min(first+Fanout, len(order))])
+	firstChild := min(Fanout*at+1, len(order))
+	alone := len(l.childPeers) == 0
+	l.childPeers = slices.Clone(order[firstChild:min(firstChild+Fanout, len(order))])
 	if alone {
 		l.started = now
 	}
 	l.dropChildren()
-	l.noteMembers(now, order)
+	l.updateMembers(now, order)
 	if at == 0 {
 		l.becomeRoot(now)
 		return
@@ -77,9 +76,9 @@
 	l.attach(now, order[(at-1)/Fanout])
 }
 
-// noteMembers notes when routers are lost, and since when they may have been on
-// their own.
-func (l *Ledger) noteMembers(now model.Time, order []Peer) {
+// updateMembers records the members of the tree, when routers were removed and from when on they may have been
+// partitioned.
+func (l *Ledger) updateMembers(now model.Time, order []Peer) {
 	members := make(map[string]bool, len(order))
 	for _, p := range order {
 		members[p.Name] = true
@@ -92,61 +91,60 @@
 	if !lost {
 		return
 	}
-	if l.cutSince == never || now > l.lastLoss+oneCut {
-		l.cutSince = now - detection
+	if l.partitionStart == never || now > l.lastLoss+partitionWindow {
+		l.partitionStart = now - detectionTime
 	}
 	l.lastLoss = now
-	l.resetReign(now)
+	l.resetRootService(now)
 }
 
-// resetReign begins the count of what this router takes in as root anew: the
-// routers that were lost had its amounts until then.
-func (l *Ledger) resetReign(now model.Time) {
-	if !l.isRoot || now < l.started+reignKept {
+// resetRootService resets the service that this router has received as root: the removed routers had received its
+// amounts until then.
+func (l *Ledger) resetRootService(now model.Time) {
+	if !l.isRoot || now < l.started+minTermDuration {
 		return
 	}
 	for _, a := range l.accounts {
-		a.reign = 0
+		a.rootService = 0
 	}
 }
 
-func (l *Ledger) isKid(name string) bool {
-	return slices.ContainsFunc(l.kids, func(p Peer) bool { return p.Name == name })
+func (l *Ledger) isChild(name string) bool {
+	return slices.ContainsFunc(l.childPeers, func(p Peer) bool { return p.Name == name })
 }
 
 func (l *Ledger) dropChildren() {
 	for _, name := range slices.Sorted(maps.Keys(l.children)) {
-		if !l.isKid(name) {
-			l.putAway(l.children[name])
+		if !l.isChild(name) {
+			l.retireLink(l.children[name])
 			delete(l.children, name)
 		}
 	}
 }
 
-// pastKept is how many links to former children are remembered.
-const pastKept = 256
+// maxFormerLinks is the number of links to former children that are stored.
+const maxFormerLinks = 256
 
-// putAway remembers a link that is given up. Its child may not know of that, and
-// go on with the amounts since the link was made when it is a child again.
-func (l *Ledger) putAway(c *child) {
-	l.past = append(l.past, c)
-	l.past = l.past[max(0, len(l.past)-pastKept):]
+// retireLink stores a link that is no longer in use. Its child may not have noticed, and may continue the amounts
+// since the link was made when it becomes a child again.
+func (l *Ledger) retireLink(c *childLink) {
+	l.formerLinks = append(l.formerLinks, c)
+	l.formerLinks = l.formerLinks[max(0, len(l.formerLinks)-maxFormerLinks):]
 }
 
-// childOf returns the link of an attachment: the present one, one that was given
-// up, or else a new one.
-func (l *Ledger) childOf(name string, attachment uint64) *child {
+// linkFor returns the link of an attachment: the current one, a former one, or else a new one.
+func (l *Ledger) linkFor(name string, attachment uint64) *childLink {
 	c := l.children[name]
 	if c != nil && c.attachment == attachment {
 		return c
 	}
 	if c != nil {
-		l.putAway(c)
+		l.retireLink(c)
 	}
-	found := &child{attachment: attachment, last: map[model.Key]entry{}}
-	if i := slices.IndexFunc(l.past, func(p *child) bool { return p.attachment == attachment }); i >= 0 {
-		found = l.past[i]
-		l.past = slices.Delete(l.past, i, i+1)
+	found := &childLink{attachment: attachment, last: map[model.Key]entry{}}
+	if i := slices.IndexFunc(l.formerLinks, func(p *childLink) bool { return p.attachment == attachment }); i >= 0 {
+		found = l.formerLinks[i]
+		l.formerLinks = slices.Delete(l.formerLinks, i, i+1)
 	}
 	l.children[name] = found
 	return found
@@ -160,54 +158,52 @@
 	l.parent = nil
 	l.started = now
 	l.nextDown = now
-	if l.known {
-		l.carry(true)
-		l.beginReign()
+	if l.hasView {
+		l.markContinuous(true)
+		l.startTerm()
 	}
-	l.absorb(now)
+	l.includeSubtree(now)
 }
 
-// beginReign starts a term that continues the one last seen.
-func (l *Ledger) beginReign() {
-	l.from = l.reign
-	l.reign = reign{root: l.self, term: l.reign.term + 1}
-	l.known = true
+// startTerm starts a term that continues the last one received.
+func (l *Ledger) startTerm() {
+	l.previous = l.term
+	l.term = rootTerm{root: l.self, number: l.term.number + 1}
+	l.hasView = true
 	for _, a := range l.accounts {
 		a.unlifted = a.backlogged
 	}
 }
 
-// mayBegin tells whether a root with no memory may begin from nothing: once all
-// of its children have said that they have no view either. One that never says
-// so, as it is cut off, isn't waited for longer than viewWait.
-func (l *Ledger) mayBegin(now model.Time) bool {
-	if l.known || len(l.kids) == 0 {
+// mayStartTerm reports whether a root without state may start a term from zero: once all of its children have reported
+// that they have no view either, or after viewTimeout, as a child may be partitioned.
+func (l *Ledger) mayStartTerm(now model.Time) bool {
+	if l.hasView || len(l.childPeers) == 0 {
 		return false
 	}
-	if now >= l.started+viewWait {
+	if now >= l.started+viewTimeout {
 		return true
 	}
-	return !slices.ContainsFunc(l.kids, func(p Peer) bool {
+	return !slices.ContainsFunc(l.childPeers, func(p Peer) bool {
 		c := l.children[p.Name]
 		return c == nil || !c.noView
 	})
 }
 
-// absorb is called when this router becomes root: what its subtree had given
-// and not yet seen confirmed joins the amounts.
-func (l *Ledger) absorb(now model.Time) {
+// includeSubtree adds, when this router becomes root, the unconfirmed service of its subtree to the fleet's amounts.
+func (l *Ledger) includeSubtree(now model.Time) {
 	for _, key := range l.order {
 		a := l.accounts[key]
 		rest := a.subtree.minus(a.confirmed).sum()
 		a.virtual += rest
-		a.reign += rest
+		a.rootService += rest
 		a.confirmed = a.subtree
-		l.refreshRoot(now, key, a)
+		l.updateFleetState(now, key, a)
 	}
 }
 
 func (l *Ledger) attach(now model.Time, parent Peer) {
-	if l.parent != nil && l.parent.parent == parent.Name && l.parent.boot == parent.Boot {
+	if l.parent != nil && l.parent.name == parent.Name && l.parent.boot == parent.Boot {
 		return
 	}
 	l.isRoot = false
@@ -215,8 +211,8 @@
 	for key, a := range l.accounts {
 		base[key] = a.confirmed
 	}
-	l.parent = &attached{
-		parent:     parent.Name,
+	l.parent = &parentLink{
+		name:       parent.Name,
 		boot:       parent.Boot,
 		attachment: l.nextID(),
 		base:       base,
@@ -225,15 +221,15 @@
 	l.nextUp = now
 }
 
-// yieldReign hands over what this router took in as root: to a successor that
-// doesn't continue this router's term it is sent up as merged service.
-func (l *Ledger) yieldReign(down *wire.Down) {
-	continues := l.known && down.FromRoot == l.self && down.FromTerm == l.reign.term
-	wasRoot := !l.known || l.reign.root == l.self
+// handOver hands over the service received as root: if the successor doesn't continue this router's term, it is sent
+// up as merged service.
+func (l *Ledger) handOver(down *wire.Down) {
+	continues := l.hasView && down.FromRoot == l.self && down.FromTerm == l.term.number
+	wasRoot := !l.hasView || l.term.root == l.self
 	for _, a := range l.accounts {
 		if wasRoot && !continues {
-			a.subtree.merged += a.reign
+			a.subtree.merged += a.rootService
 		}
-		a.reign = 0
+		a.rootService = 0
 	}
 }
