--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -76,7 +76,7 @@
 	StreamLimitReached Reason = "laden"   // the router carries as many streams as it can pass on in time
 )
 
-// Request is what a request's header contains.
+// Request is the information about a request on which Arrive decides.
 type Request struct {
 	Account model.AccountID
 	Route   uint32        // hash of the route's name
@@ -191,7 +191,8 @@
 	return v
 }
 
-// windowFor returns how many requests may await a decision when r arrives, given the time within which r's is due.
+// windowFor returns how many requests may await a decision when r arrives, limited to what can be decided within
+// r.Within.
 func (g *Gate) windowFor(r Request) float64 {
 	return min(g.window, max(float64(r.Within/g.minDecision), minWindow))
 }
@@ -244,7 +245,7 @@
 // Pending returns the number of requests that await a decision.
 func (g *Gate) Pending() int { return g.pending }
 
-// Window returns how many requests may await a decision; infinite if there was no late decision.
+// Window returns how many requests may await a decision; infinite if no recent decision was late.
 func (g *Gate) Window() float64 { return g.window }
 
 func (g *Gate) addPending(account model.AccountID, n int) {
--- a/core/admission/streams.go
+++ b/core/admission/streams.go
@@ -82,14 +82,14 @@
 }
 
 // update adjusts the limit by the current scheduling delay when a request with an objective arrives.
-func (l *streamLimiter) update(now model.Time, late, objective time.Duration) {
+func (l *streamLimiter) update(now model.Time, delay, objective time.Duration) {
 	if objective <= 0 || now < l.lastUpdate+limitInterval {
 		return
 	}
 	l.lastUpdate = now
-	isLate := float64(late)*turnsPerRequest > maxDelayFraction*float64(objective)
+	tooLong := float64(delay)*turnsPerRequest > maxDelayFraction*float64(objective)
 	switch {
-	case isLate:
+	case tooLong:
 		l.lastAtLimit = now
 		l.limit = max(limitDecrease*min(l.limit, float64(l.active)), l.floor)
 	case math.IsInf(l.limit, 1):
--- a/core/admission/streams_test.go
+++ b/core/admission/streams_test.go
@@ -18,9 +18,9 @@
 const smallProcessor = 0.04
 
 // admitStream requests a stream at the given scheduling delay, and reports its decision at once.
-func admitStream(g *Gate, now model.Time, account model.AccountID, late time.Duration) (Ticket, Reason) {
+func admitStream(g *Gate, now model.Time, account model.AccountID, delay time.Duration) (Ticket, Reason) {
 	v, ticket := g.Arrive(now, Request{
-		Account: account, Route: route, Within: within, Stream: true, Objective: objective, Late: late,
+		Account: account, Route: route, Within: within, Stream: true, Objective: objective, Late: delay,
 	})
 	if v.Reason == Admitted {
 		g.Decided(now, ticket, Decision{})
@@ -114,9 +114,9 @@
 				g.Ended(streams[0].ticket)
 				streams = streams[1:]
 			}
-			late := time.Duration(float64(len(streams)) / float64(capacity) * maxDelay(objective))
+			delay := time.Duration(float64(len(streams)) / float64(capacity) * maxDelay(objective))
 			for range 2 {
-				if ticket, reason := admitStream(g, now, hot, late); reason == Admitted {
+				if ticket, reason := admitStream(g, now, hot, delay); reason == Admitted {
 					streams = append(streams, running{ticket, now + duration})
 				}
 			}
