--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,22 +1,22 @@
-// Package member keeps the list of live routers by probing, at a cost to each
+// Package member maintains the list of live routers by probing, at a cost to each
 // router that doesn't grow with the fleet.
 //
-// Every period a router pings one other, in a shuffled round. Where no answer
-// comes it asks a few more to ping for it; where none of them gets through
-// either, the member is suspect, and after a while dead. What is learned rides
-// as rumours on the datagrams that are sent anyway, each a number of times
-// that grows with the logarithm of the fleet.
+// Every period a router pings one other, in shuffled order. If no ack arrives it
+// asks a few more to ping on its behalf; if none of them gets an ack either, the
+// member becomes suspect, and dead after a timeout. Changes are gossiped as rumours
+// in the datagrams that are sent anyway, each a number of times that grows with the
+// logarithm of the fleet's size.
 //
-// A member's own word is ordered by its incarnation: the highest wins, and at
-// the same incarnation the worse status wins. A router that hears itself
-// called suspect or dead, or hears of an earlier process of its own name,
-// answers with a higher incarnation. A router that restarts with no memory
-// therefore catches up with its own past within one exchange.
+// Rumours about a member are ordered by its incarnation: the highest wins, and at
+// the same incarnation the worse status wins. A router that receives a rumour that it
+// is suspect or dead, or one about an earlier process of its name, refutes it
+// with a higher incarnation. A router that restarts without stored state therefore
+// supersedes its previous process within one exchange.
 //
-// Limits. Members are found through the VM list, or by being pinged by one
-// that has it. A dead member stays in the list while the VM list has it, and
-// is pinged now and then, so that two halves of a cut fleet find each other
-// again. Agreement isn't promised: nothing that must hold rests on it.
+// Limits. Members are discovered through the VM list, or when they ping this router.
+// A dead member stays in the list while the VM list contains it, and is pinged
+// at a lower rate, so that the two sides of a network partition find each other
+// again. Routers' lists may differ: no safety property depends on agreement.
 package member
 
 import (
@@ -30,53 +30,54 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// The pace of failure detection.
+// Parameters of failure detection.
 const (
-	Period        = 500 * time.Millisecond
-	ackTimeout    = 150 * time.Millisecond
-	suspectFor    = 1500 * time.Millisecond
-	helpers       = 3
-	rumoursAtOnce = 6
-	// deadEvery is how many periods pass between pings of a dead member.
-	deadEvery = 4
-	// judgeAfter is how long a router must have kept up to judge others: a period, in which what it missed has been
-	// answered, and the one before.
-	judgeAfter = 2 * Period
+	// Period is the time between two pings of a router.
+	Period         = 500 * time.Millisecond
+	ackTimeout     = 150 * time.Millisecond
+	suspectTimeout = 1500 * time.Millisecond
+	indirectProbes = 3
+	maxRumours     = 6 // in a datagram
+	// deadPingPeriods is the number of periods between pings of dead members.
+	deadPingPeriods = 4
+	// lateHoldOff is how long after its last late event a router suspects no member: one period in which
+	// the probes that it missed are answered, and the one before.
+	lateHoldOff = 2 * Period
 )
 
-// Member is what a router holds of another, or of itself.
+// Member is the last state received from a router, or the router's own.
 type Member struct {
 	Name        string
 	Address     string // IP and port of its peer listener
 	DataHall    string
-	Processor   float64 // its part of a core, 0 for unknown
-	Boot        uint64  // random number of its process, 0 until heard of
-	Past        uint64  // that of its process before, 0 for none known
+	Processor   float64 // its share of a core, 0 if unknown
+	Boot        uint64  // random number of its process, 0 until received
+	Past        uint64  // random number of its previous process, 0 if unknown
 	Incarnation uint64
 	Status      wire.Status
-	since       model.Time // when the status was taken
-	listed      bool       // the VM list has it
-	heard       model.Time // when it was last heard itself
-	asked       model.Time // when it was last asked to contradict its death
-	behind      bool       // it is to be told what is held of it: it has started again, or goes by a lower incarnation
+	since       model.Time // when the status was set
+	listed      bool       // in the VM list
+	lastSeen    model.Time // when its last datagram was received
+	refutePing  model.Time // when it was last pinged so that it refutes its death
+	outdated    bool       // it must be sent the entry stored here: it has restarted, or uses a lower incarnation
 }
 
-// Alive tells whether work may be shared with the member.
+// Alive reports whether work may be shared with the member.
 func (m *Member) Alive() bool {
 	return m.Status == wire.Status_STATUS_ALIVE || m.Status == wire.Status_STATUS_SUSPECT
 }
 
-// Reachable tells whether the member's process still runs, be it leaving.
+// Reachable reports whether the member's process is considered to be running, possibly leaving.
 func (m *Member) Reachable() bool {
 	return m.Status != wire.Status_STATUS_DEAD
 }
 
-// Change is one change of a member's status, or its restart.
+// Change is a change of a member's status, or its restart.
 type Change struct {
 	Name      string
 	Status    wire.Status
 	Restarted bool
-	New       bool // it wasn't known before
+	New       bool // the member was added
 }
 
 // Send is a probe to be sent.
@@ -85,7 +86,7 @@
 	Probe *wire.Probe
 }
 
-// Listed is a router that the VM list has.
+// Listed is a router in the VM list.
 type Listed struct {
 	Name      string
 	Address   string
@@ -93,41 +94,41 @@
 	Processor float64
 }
 
-// List is the membership machine. It does no I/O and reads no clock.
+// List is the state machine of membership. It does no I/O and reads no clock.
 type List struct {
 	self     Member
 	random   *rand.Rand
 	members  map[string]*Member
 	names    []string // sorted, without self
-	round    []string
-	rumours  []rumour
-	probe    *probing
-	relays   map[uint64]relay
+	round    []string // members still to be pinged in this round
+	rumours  []pendingRumour
+	probe    *pendingProbe
+	indirect map[uint64]indirectPing // by the nonce of the ping sent
 	nonce    uint64
-	next     model.Time
+	next     model.Time // when the next period begins
 	periods  int
 	changes  []Change
 	version  uint64
-	suspects int        // members that are suspect
-	late     model.Time // when this router was late last
+	suspects int        // number of suspect members
+	lastLate model.Time // when this router was last late
 	wasLate  bool
 }
 
-// New returns the list of a router that knows of nobody else yet.
+// New returns the list of a router, without other members.
 func New(self Member, random *rand.Rand) *List {
 	return &List{
-		self:    self,
-		random:  random,
-		members: map[string]*Member{},
-		relays:  map[uint64]relay{},
+		self:     self,
+		random:   random,
+		members:  map[string]*Member{},
+		indirect: map[uint64]indirectPing{},
 	}
 }
 
-// Late notes that this router comes late to what is due.
-func (l *List) Late(now model.Time) { l.late, l.wasLate = now, true }
+// Late records that this router processes timers or events late.
+func (l *List) Late(now model.Time) { l.lastLate, l.wasLate = now, true }
 
-// MayJudge tells whether this router has kept up for long enough to tell others' silence from its own lateness.
-func (l *List) MayJudge(now model.Time) bool { return !l.wasLate || now >= l.late+judgeAfter }
+// MayJudge reports whether this router has been on time for long enough to attribute a missing ack to the member.
+func (l *List) MayJudge(now model.Time) bool { return !l.wasLate || now >= l.lastLate+lateHoldOff }
 
 // Self returns the router's own entry.
 func (l *List) Self() Member { return l.self }
@@ -135,13 +136,13 @@
 // Version increases whenever the set of live members changes.
 func (l *List) Version() uint64 { return l.version }
 
-// Names returns the other members' names in order, the dead ones included.
+// Names returns the sorted names of the other members, including dead ones.
 func (l *List) Names() []string { return l.names }
 
-// Get returns the member of that name, or nil; self isn't a member.
+// Get returns the member with the given name, or nil. The router itself isn't a member.
 func (l *List) Get(name string) *Member { return l.members[name] }
 
-// Changes returns and forgets the changes since the last call.
+// Changes returns the changes since the last call and clears them.
 func (l *List) Changes() []Change {
 	out := l.changes
 	l.changes = nil
@@ -149,7 +150,7 @@
 }
 
 // Live returns the live members and, unless it is leaving, the router itself,
-// ordered by name.
+// sorted by name.
 func (l *List) Live() []*Member {
 	var out []*Member
 	for _, name := range l.names {
@@ -164,8 +165,8 @@
 	return out
 }
 
-// Running returns every member whose process is held to run, and the router
-// itself: the live ones ordered by weight, then those that are leaving.
+// Running returns every reachable member and the router itself: the live ones
+// sorted by rendezvous weight, then the leaving ones.
 func (l *List) Running() []*Member {
 	var out []*Member
 	for _, name := range l.names {
@@ -183,7 +184,7 @@
 	return out
 }
 
-// treeSubject is what the routers' order is hashed with.
+// treeSubject is the rendezvous subject of the order of Running.
 const treeSubject = "tree"
 
 func b2i(b bool) int {
@@ -193,8 +194,8 @@
 	return 0
 }
 
-// SetListed takes the VM list's routers. A router the list has dropped is
-// forgotten once it is dead.
+// SetListed sets the routers of the VM list. A router that is no longer listed is
+// removed once it is dead.
 func (l *List) SetListed(now model.Time, listed []Listed) {
 	for _, m := range l.members {
 		m.listed = false
@@ -215,7 +216,7 @@
 		}
 		m.listed = true
 	}
-	l.forgetDropped()
+	l.removeUnlisted()
 }
 
 func (l *List) add(now model.Time, name, address, hall string) *Member {
@@ -228,18 +229,18 @@
 	return m
 }
 
-func (l *List) forgetDropped() {
+func (l *List) removeUnlisted() {
 	l.names = slices.DeleteFunc(l.names, func(name string) bool {
 		m := l.members[name]
-		drop := !m.listed && !m.Reachable()
-		if drop {
+		remove := !m.listed && !m.Reachable()
+		if remove {
 			delete(l.members, name)
 		}
-		return drop
+		return remove
 	})
 }
 
-// Leave marks the router itself as leaving and spreads the word.
+// Leave marks the router itself as leaving and queues a rumour of it.
 func (l *List) Leave() {
 	if l.self.Status == wire.Status_STATUS_LEAVING {
 		return
@@ -247,30 +248,30 @@
 	l.self.Status = wire.Status_STATUS_LEAVING
 	l.self.Incarnation++
 	l.version++
-	l.spread(l.self.Name)
+	l.enqueueRumour(l.self.Name)
 }
 
-// Heard takes note of an authentic datagram from a member.
+// Heard records the receipt of an authentic datagram from a member, and its process.
 func (l *List) Heard(now model.Time, from string, boot uint64) {
 	m := l.members[from]
 	if m == nil {
 		return
 	}
-	m.heard = now
+	m.lastSeen = now
 	if m.Boot == boot {
 		return
 	}
 	restarted := m.Boot != 0
 	m.Past, m.Boot = m.Boot, boot
 	if restarted {
-		m.behind = true
+		m.outdated = true
 		l.changes = append(l.changes, Change{Name: from, Status: m.Status, Restarted: true})
 		l.version++
 	}
 }
 
-// Located takes a member's own word on where it listens, from an authentic datagram of its live process: one that has started
-// again may listen elsewhere, and the VM list tells of it seconds later.
+// Located sets a member's address to the one in its rumour about itself, received in an authentic datagram of its
+// current process. A router that has restarted may listen on another address, and the VM list is updated seconds later.
 func (l *List) Located(from string, own *wire.Rumour) {
 	m := l.members[from]
 	if m == nil || own.Name != from || own.Boot != m.Boot || own.Address == "" {
@@ -279,8 +280,8 @@
 	m.Address = own.Address
 }
 
-func (l *List) set(now model.Time, m *Member, status wire.Status) {
-	was := m.Alive()
+func (l *List) setStatus(now model.Time, m *Member, status wire.Status) {
+	wasAlive := m.Alive()
 	if m.Status == wire.Status_STATUS_SUSPECT {
 		l.suspects--
 	}
@@ -289,8 +290,8 @@
 	}
 	m.Status = status
 	m.since = now
-	l.spread(m.Name)
-	if was != m.Alive() {
+	l.enqueueRumour(m.Name)
+	if wasAlive != m.Alive() {
 		l.version++
 	}
 	l.changes = append(l.changes, Change{Name: m.Name, Status: status})
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -11,7 +11,8 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// probeSilent lets a router probe others that never answer, for so long, and tells whether it then holds any for dead or suspect.
+// probeSilent ticks a router whose probes are never answered from one time until another, and reports whether any
+// member is suspect or dead afterwards.
 func probeSilent(l *List, from, until model.Time, late func(model.Time) bool) bool {
 	for now := from; now < until; now += 10 * time.Millisecond {
 		if late(now) {
@@ -27,19 +28,19 @@
 	return false
 }
 
-// TestWhoeverIsLateJudgesNobody lets a router come late to everything for ten seconds: it holds nobody for suspect or dead by its own
-// probes, and does soon after it keeps up again.
-func TestWhoeverIsLateJudgesNobody(t *testing.T) {
+// TestLateRouterSuspectsNobody guards against a slow router declaring others dead. While it is late, for ten seconds,
+// its own probes make no member suspect or dead; soon after it is on time again they do.
+func TestLateRouterSuspectsNobody(t *testing.T) {
 	is := is.New(t)
 	l := New(Member{Name: "self", Boot: 1}, rand.New(rand.NewPCG(1, 2)))
 	l.SetListed(0, []Listed{{Name: "a", Address: "a"}, {Name: "b", Address: "b"}, {Name: "c", Address: "c"}})
 	is.True(!probeSilent(l, 0, 10*time.Second, func(model.Time) bool { return true }))
 	is.True(probeSilent(l, 10*time.Second, 12*time.Second, func(model.Time) bool { return false }))
 
-	// Once late, as after a pause, it waits for what it missed.
+	// Late once, as after a pause: the acks that it missed are still awaited.
 	l = New(Member{Name: "self", Boot: 1}, rand.New(rand.NewPCG(1, 2)))
 	l.SetListed(0, []Listed{{Name: "a", Address: "a"}})
-	l.Tick(0) // a probe
+	l.Tick(0) // sends a probe
 	l.Late(3 * time.Second)
 	l.Tick(3 * time.Second)
 	is.Equal(l.Get("a").Status, wire.Status_STATUS_ALIVE)
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -7,58 +7,60 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-type probing struct {
+// pendingProbe is the probe of the current period.
+type pendingProbe struct {
 	nonce    uint64
 	target   string
 	started  model.Time
-	helped   bool
-	answered bool
+	indirect bool // indirect probes have been requested
+	acked    bool
 }
 
-// relay is a ping made on another member's behalf.
-type relay struct {
+// indirectPing is a ping sent on another member's behalf.
+type indirectPing struct {
 	requester string
-	nonce     uint64
+	nonce     uint64 // of the request
 	target    string
 }
 
-// Receive takes a probe from a member and returns what to send for it.
+// Receive handles a probe from a member and returns the probes to send in reply.
 func (l *List) Receive(now model.Time, from string, p *wire.Probe) []Send {
 	switch p.Kind {
 	case wire.ProbeKind_PROBE_PING:
 		return []Send{{To: from, Probe: &wire.Probe{Kind: wire.ProbeKind_PROBE_ACK, Nonce: p.Nonce}}}
 	case wire.ProbeKind_PROBE_REQUEST:
-		return l.relayPing(from, p)
+		return l.startIndirectPing(from, p)
 	default:
-		return l.acknowledged(now, from, p)
+		return l.receiveAck(now, from, p)
 	}
 }
 
-// AskDead returns a ping of a member that is held to be dead and has just been heard: the
-// ping tells it so, and its answer contradicts it. It would else stay dead here until it is
-// its turn to be pinged, which takes longer the larger the fleet is.
+// AskDead returns a ping to a member with status dead from which a datagram has just been received,
+// at most one a period. The ping's datagram carries the rumour of its death, which it refutes in
+// its ack. Otherwise it would stay dead here until its next regular ping, which takes longer
+// the larger the fleet is.
 func (l *List) AskDead(now model.Time, name string) []Send {
 	m := l.members[name]
-	if m == nil || m.Status != wire.Status_STATUS_DEAD || now < m.asked+Period {
+	if m == nil || m.Status != wire.Status_STATUS_DEAD || now < m.refutePing+Period {
 		return nil
 	}
-	m.asked = now
+	m.refutePing = now
 	l.nonce++
 	return []Send{{To: name, Probe: &wire.Probe{Nonce: l.nonce}}}
 }
 
-func (l *List) relayPing(from string, p *wire.Probe) []Send {
+func (l *List) startIndirectPing(from string, p *wire.Probe) []Send {
 	if l.members[p.Target] == nil {
 		return nil
 	}
 	l.nonce++
-	l.relays[l.nonce] = relay{requester: from, nonce: p.Nonce, target: p.Target}
+	l.indirect[l.nonce] = indirectPing{requester: from, nonce: p.Nonce, target: p.Target}
 	return []Send{{To: p.Target, Probe: &wire.Probe{Nonce: l.nonce}}}
 }
 
-func (l *List) acknowledged(now model.Time, from string, p *wire.Probe) []Send {
-	if r, ok := l.relays[p.Nonce]; ok && r.target == from {
-		delete(l.relays, p.Nonce)
+func (l *List) receiveAck(now model.Time, from string, p *wire.Probe) []Send {
+	if r, ok := l.indirect[p.Nonce]; ok && r.target == from {
+		delete(l.indirect, p.Nonce)
 		ack := &wire.Probe{Kind: wire.ProbeKind_PROBE_ACK, Nonce: r.nonce, Target: from}
 		return []Send{{To: r.requester, Probe: ack}}
 	}
@@ -68,53 +70,53 @@
 	if from != l.probe.target && p.Target != l.probe.target {
 		return nil
 	}
-	l.probe.answered = true
-	l.revive(now, l.probe.target)
+	l.probe.acked = true
+	l.clearSuspicion(now, l.probe.target)
 	return nil
 }
 
-// revive clears a suspicion that a direct answer has disproved. A dead member
-// comes back with its own rumour, which has a higher incarnation.
-func (l *List) revive(now model.Time, name string) {
+// clearSuspicion sets a suspect member that has acked a probe to alive. A dead member
+// becomes alive by its own rumour, which has a higher incarnation.
+func (l *List) clearSuspicion(now model.Time, name string) {
 	if m := l.members[name]; m != nil && m.Status == wire.Status_STATUS_SUSPECT {
-		l.set(now, m, wire.Status_STATUS_ALIVE)
+		l.setStatus(now, m, wire.Status_STATUS_ALIVE)
 	}
 }
 
-// Tick advances time and returns the probes that are due.
+// Tick handles the timers that are due and returns the probes to send.
 func (l *List) Tick(now model.Time) []Send {
-	l.buryDead(now)
-	out := l.askHelpers(now)
+	l.expireSuspects(now)
+	out := l.requestIndirect(now)
 	if now < l.next {
 		return out
 	}
 	l.next = now + Period
 	l.periods++
-	l.endProbe(now)
-	l.relays = map[uint64]relay{}
+	l.finishProbe(now)
+	l.indirect = map[uint64]indirectPing{}
 	target := l.nextTarget()
 	if target == "" {
 		return out
 	}
 	l.nonce++
-	l.probe = &probing{nonce: l.nonce, target: target, started: now}
+	l.probe = &pendingProbe{nonce: l.nonce, target: target, started: now}
 	return append(out, Send{To: target, Probe: &wire.Probe{Nonce: l.nonce}})
 }
 
-// Wake returns when Tick has next something to do.
+// Wake returns when Tick is next to be called.
 func (l *List) Wake() model.Time {
-	if l.probe != nil && !l.probe.answered && !l.probe.helped {
+	if l.probe != nil && !l.probe.acked && !l.probe.indirect {
 		return min(l.next, l.probe.started+ackTimeout)
 	}
 	return l.next
 }
 
-func (l *List) askHelpers(now model.Time) []Send {
+func (l *List) requestIndirect(now model.Time) []Send {
 	p := l.probe
-	if p == nil || p.answered || p.helped || now < p.started+ackTimeout {
+	if p == nil || p.acked || p.indirect || now < p.started+ackTimeout {
 		return nil
 	}
-	p.helped = true
+	p.indirect = true
 	var out []Send
 	for _, i := range l.random.Perm(len(l.names)) {
 		name := l.names[i]
@@ -123,17 +125,17 @@
 		}
 		request := &wire.Probe{Kind: wire.ProbeKind_PROBE_REQUEST, Nonce: p.nonce, Target: p.target}
 		out = append(out, Send{To: name, Probe: request})
-		if len(out) == helpers {
+		if len(out) == indirectProbes {
 			break
 		}
 	}
 	return out
 }
 
-func (l *List) endProbe(now model.Time) {
+func (l *List) finishProbe(now model.Time) {
 	p := l.probe
 	l.probe = nil
-	if p == nil || p.answered || !l.MayJudge(now) {
+	if p == nil || p.acked || !l.MayJudge(now) {
 		return
 	}
 	m := l.members[p.target]
@@ -142,20 +144,20 @@
 	}
 	switch m.Status {
 	case wire.Status_STATUS_ALIVE:
-		l.set(now, m, wire.Status_STATUS_SUSPECT)
+		l.setStatus(now, m, wire.Status_STATUS_SUSPECT)
 	case wire.Status_STATUS_LEAVING:
-		l.set(now, m, wire.Status_STATUS_DEAD)
+		l.setStatus(now, m, wire.Status_STATUS_DEAD)
 	}
 }
 
-func (l *List) buryDead(now model.Time) {
+func (l *List) expireSuspects(now model.Time) {
 	if l.suspects == 0 || !l.MayJudge(now) {
 		return
 	}
 	for _, name := range l.names {
 		m := l.members[name]
-		if m.Status == wire.Status_STATUS_SUSPECT && now >= m.since+suspectFor {
-			l.set(now, m, wire.Status_STATUS_DEAD)
+		if m.Status == wire.Status_STATUS_SUSPECT && now >= m.since+suspectTimeout {
+			l.setStatus(now, m, wire.Status_STATUS_DEAD)
 		}
 	}
 }
@@ -169,7 +171,7 @@
 			if m == nil {
 				continue
 			}
-			if m.Reachable() || l.periods%deadEvery == 0 {
+			if m.Reachable() || l.periods%deadPingPeriods == 0 {
 				return name
 			}
 		}
--- a/core/member/rumour.go
+++ b/core/member/rumour.go
@@ -8,43 +8,43 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-type rumour struct {
-	name string
-	left int // sends left
+// pendingRumour is a member whose entry is still to be sent a number of times.
+type pendingRumour struct {
+	name      string
+	sendsLeft int
 }
 
-func (l *List) spread(name string) {
-	l.rumours = slices.DeleteFunc(l.rumours, func(r rumour) bool { return r.name == name })
-	l.rumours = append(l.rumours, rumour{name: name, left: 4 * bits.Len(uint(len(l.names)+1))})
+func (l *List) enqueueRumour(name string) {
+	l.rumours = slices.DeleteFunc(l.rumours, func(r pendingRumour) bool { return r.name == name })
+	l.rumours = append(l.rumours, pendingRumour{name: name, sendsLeft: 4 * bits.Len(uint(len(l.names)+1))})
 }
 
-// Rumours returns what a datagram to that member should carry: fresh changes,
-// the router's own entry, and what it holds of the receiver wherever the
-// receiver should contradict it.
+// Rumours returns the rumours for a datagram to the given member: the router's own entry,
+// the receiver's entry where the receiver should refute it, and recent changes.
 func (l *List) Rumours(to string) []*wire.Rumour {
 	out := []*wire.Rumour{l.rumour(&l.self)}
-	if m := l.members[to]; m != nil && (m.behind || m.Status != wire.Status_STATUS_ALIVE) {
-		out = append(out, l.rumourToItself(m))
-		m.behind = false
+	if m := l.members[to]; m != nil && (m.outdated || m.Status != wire.Status_STATUS_ALIVE) {
+		out = append(out, l.rumourForSelf(m))
+		m.outdated = false
 	}
 	for i := range l.rumours {
 		r := &l.rumours[i]
 		m := l.members[r.name]
-		if m == nil || r.name == to || len(out) >= rumoursAtOnce {
+		if m == nil || r.name == to || len(out) >= maxRumours {
 			continue
 		}
-		r.left--
+		r.sendsLeft--
 		out = append(out, l.rumour(m))
 	}
-	l.rumours = slices.DeleteFunc(l.rumours, func(r rumour) bool { return r.left <= 0 })
+	l.rumours = slices.DeleteFunc(l.rumours, func(r pendingRumour) bool { return r.sendsLeft <= 0 })
 	return out
 }
 
-// rumourToItself returns what a member is told of itself. One that has started again is told of the process before, so
-// that it goes by a higher incarnation, and all others take its word.
-func (l *List) rumourToItself(m *Member) *wire.Rumour {
+// rumourForSelf returns the rumour about a member that is sent to that member. One that has restarted is sent the entry
+// of its previous process, so that it increases its incarnation and all others accept its rumours.
+func (l *List) rumourForSelf(m *Member) *wire.Rumour {
 	out := l.rumour(m)
-	if m.behind && m.Past != 0 {
+	if m.outdated && m.Past != 0 {
 		out.Boot = m.Past
 	}
 	return out
@@ -57,10 +57,10 @@
 	}
 }
 
-// Learn takes a rumour.
+// Learn applies a rumour received from another router.
 func (l *List) Learn(now model.Time, r *wire.Rumour) {
 	if r.Name == l.self.Name {
-		l.contradict(r)
+		l.refute(r)
 		return
 	}
 	m := l.members[r.Name]
@@ -71,24 +71,24 @@
 		m = l.add(now, r.Name, r.Address, r.DataHall)
 		m.Incarnation = r.Incarnation
 		m.Boot = r.Boot
-		l.take(now, m, r)
+		l.apply(now, m, r)
 		return
 	}
 	if r.Incarnation < m.Incarnation {
-		m.behind = true
+		m.outdated = true
 		return
 	}
 	if r.Incarnation == m.Incarnation && r.Status <= m.Status {
 		return
 	}
 	newer := r.Incarnation > m.Incarnation
-	l.take(now, m, r)
+	l.apply(now, m, r)
 	if newer {
-		l.spread(m.Name) // it may listen elsewhere now
+		l.enqueueRumour(m.Name) // its address may have changed
 	}
 }
 
-func (l *List) take(now model.Time, m *Member, r *wire.Rumour) {
+func (l *List) apply(now model.Time, m *Member, r *wire.Rumour) {
 	m.Incarnation = r.Incarnation
 	m.Address = r.Address
 	m.DataHall = r.DataHall
@@ -96,17 +96,17 @@
 		m.Processor = float64(r.Processor)
 	}
 	if r.Boot != 0 && m.Boot != r.Boot {
-		l.Heard(m.heard, m.Name, r.Boot)
+		l.Heard(m.lastSeen, m.Name, r.Boot)
 	}
-	m.behind = false
+	m.outdated = false
 	if m.Status != r.Status {
-		l.set(now, m, r.Status)
+		l.setStatus(now, m, r.Status)
 	}
 }
 
-// contradict answers a rumour about the router itself that isn't true, or is
+// refute increases the router's incarnation where a rumour about it has a wrong status, or is
 // about an earlier process of its name.
-func (l *List) contradict(r *wire.Rumour) {
+func (l *List) refute(r *wire.Rumour) {
 	stale := r.Boot != 0 && r.Boot != l.self.Boot
 	wrong := r.Status != l.self.Status && r.Status != wire.Status_STATUS_ALIVE
 	if (stale || wrong) && r.Incarnation >= l.self.Incarnation {
