--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,13 +1,14 @@
-// Package notice keeps what backend servers have said of themselves: that they leave, or that they want rest.
+// Package notice stores the notices that backend servers send with their answers: that they are shutting down, or that
+// they want no new requests for a while (a rest).
 //
-// # Whose word it is
+// # Scope
 //
-// A word holds for one life of a backend server, and for the router to which it was said. A name stands for one life:
-// what starts again, also at the same address, comes under another name, and nothing that was said before concerns it.
-// A router that starts has heard nothing, and hears it with the first answer.
+// A notice applies to one process of a backend server, and to the router that received it. A backend server that
+// restarts gets another identity, also at the same address, so that earlier notices don't apply to it. A router starts
+// without notices and receives them with the first answers.
 //
-// A word of leaving holds whatever else tells otherwise: a catalog may be older than the word, as while the store is
-// out. A rest ends by itself; of two that overlap, the one that lasts longer holds.
+// A notice of leaving takes precedence over the catalog, which may be older than the notice, for instance during an
+// outage of the store. A rest expires; of two that overlap, the one that ends later applies.
 package notice
 
 import (
@@ -19,63 +20,63 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Notice is what a backend server says of itself, beside an answer.
+// Notice is a notification from a backend server about itself, sent with an answer.
 type Notice struct {
-	// Leaving tells that it is about to end and wants nothing more.
+	// Leaving reports that the backend server is shutting down and accepts no new requests.
 	Leaving bool
-	// Rest is for how long it wants nothing from this router, 0 where it doesn't ask for any.
+	// Rest is how long this router must send it no new requests, 0 for none.
 	Rest time.Duration
 }
 
 const (
-	// kept is how long a word of leaving holds after it was last said. Backend servers that leave end within
-	// minutes; the identity of one that has ended may be that of another some day, as it is 32 bits of a hash.
-	kept = time.Hour
-	// most is how many words of leaving are kept, the newest ones: more than the backend servers of the largest
-	// fleet that is aimed for.
-	most = 8192
-	// left is how many are left of them once there are more, so that they are gone over seldom: done at each word,
-	// 8,192 words beyond most took 41 s, 5 ms each (TestBookIsBounded, which takes 0.02 s now).
-	left = most * 3 / 4
+	// leavingTTL is how long a notice of leaving applies after it was last received. Backend servers that leave
+	// terminate within minutes; the identity is a 32-bit hash, so that a later backend server may have the same one.
+	leavingTTL = time.Hour
+	// maxLeaving is the number of notices of leaving that are stored, the newest ones: more than the number of
+	// backend servers in the largest fleet supported.
+	maxLeaving = 8192
+	// evictTo is the number of notices left after an eviction, so that evictions are rare. Evicting one at each
+	// notice took 5 ms, 41 s for 8,192 notices beyond maxLeaving, instead of 0.02 s in all (TestBookIsBounded).
+	evictTo = maxLeaving * 3 / 4
 )
 
-// Book is what one router has heard. It reads no clock.
+// Book holds the notices that one router has received. It reads no clock.
 type Book struct {
-	leaving map[model.BackendID]model.Time // when it was last said
-	rests   map[model.BackendID]model.Time // until when
+	leaving map[model.BackendID]model.Time // when the last notice of leaving was received
+	rests   map[model.BackendID]model.Time // when the rest ends
 }
 
-// New returns a book in which nothing is written.
+// New returns an empty book.
 func New() *Book {
 	return &Book{leaving: map[model.BackendID]model.Time{}, rests: map[model.BackendID]model.Time{}}
 }
 
-// Take takes what a backend server has said, and tells whether that changes what is sent to it.
+// Take records a notice, and reports whether the backend server accepted new requests before and no longer does.
 func (b *Book) Take(now model.Time, id model.BackendID, n Notice) (changed bool) {
-	could := b.Takes(now, id)
+	accepted := b.Takes(now, id)
 	if n.Leaving {
 		b.leaving[id] = now
-		b.forget(now)
+		b.evictLeaving(now)
 	}
 	if n.Rest > 0 {
-		b.endRests(now)
+		b.removeExpiredRests(now)
 		b.rests[id] = max(b.rests[id], now+n.Rest)
 	}
-	return could && !b.Takes(now, id)
+	return accepted && !b.Takes(now, id)
 }
 
-// Takes tells whether a backend server takes anything new, as far as it has said.
+// Takes reports whether a backend server accepts new requests according to its notices.
 func (b *Book) Takes(now model.Time, id model.BackendID) bool {
 	return !b.Leaves(now, id) && b.RestsUntil(now, id) == 0
 }
 
-// Leaves tells whether a backend server has said that it leaves.
+// Leaves reports whether a notice of leaving applies to a backend server.
 func (b *Book) Leaves(now model.Time, id model.BackendID) bool {
-	at, said := b.leaving[id]
-	return said && now-at <= kept
+	at, found := b.leaving[id]
+	return found && now-at <= leavingTTL
 }
 
-// RestsUntil returns when a backend server will have rested, 0 where it doesn't rest.
+// RestsUntil returns when a backend server's rest ends, 0 if it has none.
 func (b *Book) RestsUntil(now model.Time, id model.BackendID) model.Time {
 	until := b.rests[id]
 	if until <= now {
@@ -84,8 +85,8 @@
 	return until
 }
 
-// endRests forgets the rests that are over.
-func (b *Book) endRests(now model.Time) {
+// removeExpiredRests deletes the rests that have ended.
+func (b *Book) removeExpiredRests(now model.Time) {
 	for id, until := range b.rests {
 		if until <= now {
 			delete(b.rests, id)
@@ -93,20 +94,21 @@
 	}
 }
 
-// forget drops the words of leaving that hold no more and, of more than most, the oldest ones.
-func (b *Book) forget(now model.Time) {
-	if len(b.leaving) <= most {
+// evictLeaving deletes, once there are more than maxLeaving notices of leaving, the expired ones and then the oldest
+// ones beyond evictTo.
+func (b *Book) evictLeaving(now model.Time) {
+	if len(b.leaving) <= maxLeaving {
 		return
 	}
 	for id, at := range b.leaving {
-		if now-at > kept {
+		if now-at > leavingTTL {
 			delete(b.leaving, id)
 		}
 	}
 	byAge := slices.SortedFunc(maps.Keys(b.leaving), func(x, y model.BackendID) int {
 		return cmp.Or(cmp.Compare(b.leaving[x], b.leaving[y]), cmp.Compare(x, y))
 	})
-	for _, id := range byAge[:max(len(byAge)-left, 0)] {
+	for _, id := range byAge[:max(len(byAge)-evictTo, 0)] {
 		delete(b.leaving, id)
 	}
 }
