--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -23,8 +23,8 @@
 	return out
 }
 
-// told returns whom a router sends to in the first hop, and whom those send to in turn.
-func told(from string, fleet []Router) (first []string, reached map[string]bool) {
+// broadcast returns the routers that a message is sent to in the first hop, and all that it reaches.
+func broadcast(from string, fleet []Router) (first []string, reached map[string]bool) {
 	reached = map[string]bool{from: true}
 	heads := []string{from}
 	plan := Of(from, fleet)
@@ -54,15 +54,15 @@
 			fleet[i].Processor = rapid.SampledFrom([]float32{0.2, 0.8}).Draw(t, "processor")
 		}
 		from := fleet[rapid.IntRange(0, len(fleet)-1).Draw(t, "from")].Name
-		if _, got := told(from, fleet); len(got) != len(fleet) {
-			t.Fatalf("%d of %d are reached", len(got), len(fleet))
+		if _, got := broadcast(from, fleet); len(got) != len(fleet) {
+			t.Fatalf("%d of %d routers are reached", len(got), len(fleet))
 		}
 	})
 }
 
-// TestMessagesGrowWithTheRoot bounds what an exchange takes: of an ordinary router one
-// message, of a relay those to the other relays and to whom it serves.
-func TestMessagesGrowWithTheRoot(t *testing.T) {
+// TestMessagesGrowWithSquareRoot bounds the messages of an exchange: an ordinary router sends one,
+// a relay sends one to each other relay and to each router that it serves.
+func TestMessagesGrowWithSquareRoot(t *testing.T) {
 	is := is.New(t)
 	for _, routers := range []int{17, 59, 85, 295, 520, 1434} {
 		fleet := fleetOf(routers, 5)
@@ -77,14 +77,14 @@
 			}
 			relays++
 			messages += len(p.Relays) + len(p.Serves)
-			is.True(float64(len(p.Serves)) <= 2.5*root) // rendezvous hashing doesn't even out
+			is.True(float64(len(p.Serves)) <= 2.5*root) // rendezvous hashing doesn't balance exactly
 		}
-		is.True(float64(relays) <= root+5) // a part of one in each data hall
+		is.True(float64(relays) <= root+5) // rounded up in each data hall
 		is.True(messages <= 2*routers+relays*relays)
 	}
 }
 
-func TestSmallFleetsTellDirectly(t *testing.T) {
+func TestSmallFleetsSendDirectly(t *testing.T) {
 	is := is.New(t)
 	p := Of("router-000", fleetOf(16, 3))
 	is.Equal(p.Relay, "")
@@ -104,29 +104,29 @@
 	}
 }
 
-// TestDeathMovesOnlyTheServed takes routers away: nobody changes its relay but those whose
-// relay it was, and those that become relays.
-func TestDeathMovesOnlyTheServed(t *testing.T) {
+// TestDeathReassignsOnlyServedRouters removes a router: only the routers whose relay it was, and those that become
+// relays, change their relay.
+func TestDeathReassignsOnlyServedRouters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := fleetOf(rapid.IntRange(60, 120).Draw(t, "routers"), 3)
 		dead := rapid.IntRange(0, len(fleet)-1).Draw(t, "dead")
-		left := slices.Delete(slices.Clone(fleet), dead, dead+1)
-		if widthOf(len(fleet)) != widthOf(len(left)) {
-			return // there are more relays or fewer, so many routers change theirs
+		remaining := slices.Delete(slices.Clone(fleet), dead, dead+1)
+		if groupSize(len(fleet)) != groupSize(len(remaining)) {
+			return // the number of relays changes, so that many routers change theirs
 		}
-		for _, r := range left {
-			before, after := Of(r.Name, fleet), Of(r.Name, left)
+		for _, r := range remaining {
+			before, after := Of(r.Name, fleet), Of(r.Name, remaining)
 			isRelay := before.Relay == "" || after.Relay == ""
-			taken := slices.Contains(after.Relays, after.Relay) && !slices.Contains(before.Relays, after.Relay)
-			if !isRelay && !taken && before.Relay != after.Relay && before.Relay != fleet[dead].Name &&
+			newRelay := slices.Contains(after.Relays, after.Relay) && !slices.Contains(before.Relays, after.Relay)
+			if !isRelay && !newRelay && before.Relay != after.Relay && before.Relay != fleet[dead].Name &&
 				len(before.Relays) == len(after.Relays) {
-				t.Fatalf("%s tells %s, not %s", r.Name, after.Relay, before.Relay)
+				t.Fatalf("%s sends to %s, not %s", r.Name, after.Relay, before.Relay)
 			}
 		}
 	})
 }
 
-func TestStrangerHasNoPlan(t *testing.T) {
+func TestUnknownRouterHasEmptyPlan(t *testing.T) {
 	is := is.New(t)
 	p := Of("stranger", fleetOf(20, 2))
 	is.Equal(p.Relay, "")
