--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry keeps second sends of requests within a budget of the whole
-// fleet, without a message for any of them: each router may use a part of the
-// fixed allowance, by the number of live routers, and a share of the requests
-// that it has received itself.
+// Package retry limits retries of requests to a budget of the whole fleet,
+// without coordination for each retry: a router may use its part of the fixed
+// allowance, which is divided by the number of live routers, and a ratio of the
+// requests that it has received itself.
 package retry
 
 import (
@@ -12,69 +12,68 @@
 
 // Limits are the budget of the fleet.
 type Limits struct {
-	Ratio  float64       // second sends for each request
-	Slack  float64       // second sends beyond that in a window
-	Window time.Duration // any span of that length counts
+	Ratio  float64       // retries per request
+	Slack  float64       // retries in a window in addition to Ratio
+	Window time.Duration // length of the sliding window; 0 for no limit
 }
 
-// margin is the part of the budget that is used: routers don't agree at every
-// moment on how many of them are live, and a restarted one has forgotten what it
-// has sent.
+// margin is the fraction of the budget that is used: routers' counts of live routers
+// differ for short times, and a restarted one has lost the count of its retries.
 const margin = 0.6
 
-// buckets is how many parts the window is counted in.
+// buckets is the number of parts of the window that are counted separately.
 const buckets = 10
 
-// Budget is one router's part of the budget, for each pool.
+// Budget is one router's part of the fleet's budget, for each pool.
 type Budget struct {
 	limits  Limits
 	routers int
 	pools   map[model.PoolID]*counts
 }
 
-// counts holds what was sent in the last window, in a ring of buckets.
+// counts holds the requests and retries of the last window, in a ring of buckets.
 type counts struct {
 	requests [buckets + 1]float64
-	repeats  [buckets + 1]float64
-	newest   int64 // number of the newest bucket since the start of time
+	retries  [buckets + 1]float64
+	newest   int64 // number of the newest bucket, from time 0
 }
 
-// New returns the budget of a router that is alone.
+// New returns the budget of a router that is the only one.
 func New(limits Limits) *Budget {
 	return &Budget{limits: limits, routers: 1, pools: map[model.PoolID]*counts{}}
 }
 
-// SetRouters tells how many routers are live, this one included. Where some
-// leave, the others go on with the smaller part until the window has passed.
+// SetRouters sets the number of live routers, this one included. The number never
+// decreases: after routers leave, the others continue with the smaller part.
 func (b *Budget) SetRouters(n int) { b.routers = max(n, b.routers) }
 
 // Request counts a request for a pool.
 func (b *Budget) Request(now model.Time, pool model.PoolID) {
-	c := b.at(now, pool)
+	c := b.advance(now, pool)
 	c.requests[c.newest%(buckets+1)]++
 }
 
-// Take uses up one second send to a pool, and tells whether there was one left.
+// Take uses one retry for a pool, and reports whether there was one left.
 func (b *Budget) Take(now model.Time, pool model.PoolID) bool {
 	if b.limits.Window <= 0 {
 		return true
 	}
-	c := b.at(now, pool)
-	requests, repeats := 0.0, 0.0
+	c := b.advance(now, pool)
+	requests, retries := 0.0, 0.0
 	for i := range c.requests {
 		requests += c.requests[i]
-		repeats += c.repeats[i]
+		retries += c.retries[i]
 	}
 	allowed := margin * (b.limits.Ratio*requests + b.limits.Slack/float64(b.routers))
-	if repeats+1 > allowed {
+	if retries+1 > allowed {
 		return false
 	}
-	c.repeats[c.newest%(buckets+1)]++
+	c.retries[c.newest%(buckets+1)]++
 	return true
 }
 
-// at returns a pool's counts with the window moved on.
-func (b *Budget) at(now model.Time, pool model.PoolID) *counts {
+// advance moves a pool's window to the given time and returns its counts.
+func (b *Budget) advance(now model.Time, pool model.PoolID) *counts {
 	c := b.pools[pool]
 	if c == nil {
 		c = &counts{}
@@ -85,7 +84,7 @@
 	for c.newest < number {
 		c.newest = max(c.newest+1, number-buckets)
 		c.requests[c.newest%(buckets+1)] = 0
-		c.repeats[c.newest%(buckets+1)] = 0
+		c.retries[c.newest%(buckets+1)] = 0
 	}
 	return c
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestFleetStaysInBudget draws requests and failures at several routers, and
-// counts second sends over every window of the fleet.
+// checks the number of retries in each window over the fleet.
 func TestFleetStaysInBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
@@ -22,7 +22,7 @@
 			b.SetRouters(routers)
 			fleet = append(fleet, b)
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		for range rapid.IntRange(100, 2000).Draw(t, "events") {
 			now := time.Duration(rapid.IntRange(0, 20000).Draw(t, "gap")) * time.Microsecond
 			if len(requests) > 0 {
@@ -33,22 +33,22 @@
 			requests = append(requests, now)
 			for range rapid.IntRange(0, 2).Draw(t, "failures") {
 				if b.Take(now, 1) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 			}
 		}
-		for i, from := range repeats {
-			n := countUntil(repeats[i:], from, from+limits.Window)
-			of := countUntil(requests, from, from+limits.Window)
+		for i, from := range retries {
+			n := countBetween(retries[i:], from, from+limits.Window)
+			of := countBetween(requests, from, from+limits.Window)
 			if float64(n) > limits.Ratio*float64(of)+limits.Slack+1 {
-				t.Fatalf("%d second sends of %d requests in a window", n, of)
+				t.Fatalf("%d retries of %d requests in a window", n, of)
 			}
 		}
 	})
 }
 
-// countUntil returns how many times lie from one time up to another.
-func countUntil(times []time.Duration, from, until time.Duration) int {
+// countBetween returns how many times are in [from, until).
+func countBetween(times []time.Duration, from, until time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if at >= from && at < until {
@@ -58,16 +58,16 @@
 	return n
 }
 
-func TestWindowMovesOn(t *testing.T) {
+func TestWindowSlides(t *testing.T) {
 	is := is.New(t)
 	b := New(Limits{Slack: 10, Window: 10 * time.Second})
 	taken := 0
 	for b.Take(0, 1) {
 		taken++
 	}
-	is.Equal(taken, 6)                   // the margin
+	is.Equal(taken, 6)                   // margin times Slack
 	is.True(!b.Take(9*time.Second, 1))   // still in the window
-	is.True(b.Take(11*time.Second+1, 1)) // past it
+	is.True(b.Take(11*time.Second+1, 1)) // after it
 	is.True(b.Take(0, model.PoolID(2)))  // another pool has its own
 	is.True(New(Limits{}).Take(0, 1))    // no window, no limit
 }
