--- a/core/suspect/entry.go
+++ b/core/suspect/entry.go
@@ -7,20 +7,20 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// entry is a suspicion, and how often it was told.
+// entry is a suspicion with its state at this router.
 type entry struct {
 	Suspicion
-	saw   bool // this router has seen one of the ends, or the last answer
-	tell  int  // how many times it is still to be told
-	tells model.Time
+	observed  bool       // one of the ends, or the last answer, was observed by this router
+	sendsLeft int        // number of times that it is still to be sent
+	nextSend  model.Time // when it is to be sent next
 
-	asked    model.Time // when a try was last asked for here
-	restored model.Time // when it was read from the store, which keeps what is held back
+	tryRequested model.Time // when a try was last requested here
+	restored     model.Time // when it was read from the store, which holds the requests held back
 }
 
-// add adds an end, and tells whether it is new.
+// add adds an end, and reports whether it is new.
 func (e *entry) add(end End) bool {
-	if e.knows(end) || end.At <= e.Answered {
+	if e.contains(end) || end.At <= e.Answered {
 		return false
 	}
 	e.Ends = append(e.Ends, end)
@@ -31,43 +31,43 @@
 	return true
 }
 
-// knows tells whether an end is known. What is told of it may have waited at a relay, so that its time is off by
-// seconds; how long the request had run there then is the same, in microseconds.
-func (e *entry) knows(end End) bool {
-	return slices.ContainsFunc(e.Ends, func(known End) bool {
-		same := known.Ran.Microseconds() == end.Ran.Microseconds() || (known.At-end.At).Abs() <= sameEnd
-		return known.Backend == end.Backend && same
+// contains reports whether an end is stored already. A report of it may have been delayed at a relay, so that its time
+// is off by seconds; the time that the request had run is the same, in microseconds.
+func (e *entry) contains(end End) bool {
+	return slices.ContainsFunc(e.Ends, func(stored End) bool {
+		same := stored.Ran.Microseconds() == end.Ran.Microseconds() || (stored.At-end.At).Abs() <= sameEndWithin
+		return stored.Backend == end.Backend && same
 	})
 }
 
-// has tells whether the request ran on a backend server as it ended at about some time.
-func (e *entry) has(backend model.BackendID, at model.Time) bool {
+// ranOn reports whether the request was running on a backend server that ended at about the given time.
+func (e *entry) ranOn(backend model.BackendID, at model.Time) bool {
 	return slices.ContainsFunc(e.Ends, func(end End) bool {
-		return end.Backend == backend && (end.At-at).Abs() <= sameEnd
+		return end.Backend == backend && (end.At-at).Abs() <= sameEndWithin
 	})
 }
 
-// triedOn tells whether the request was being tried on a backend server as it ended.
+// triedOn reports whether a try of the request was running on a backend server when it ended.
 func (e *entry) triedOn(at End) bool {
 	return slices.ContainsFunc(e.Ends, func(end End) bool {
-		return end.Try && end.Backend == at.Backend && (end.At-at.At).Abs() <= sameEnd
+		return end.Try && end.Backend == at.Backend && (end.At-at.At).Abs() <= sameEndWithin
 	})
 }
 
-// counting returns the ends since the last whole answer.
-func (e *entry) counting() []End {
+// countedEnds returns the ends since the last complete answer.
+func (e *entry) countedEnds() []End {
 	e.Ends = slices.DeleteFunc(e.Ends, func(end End) bool { return end.At <= e.Answered })
 	return e.Ends
 }
 
-// blamed tells whether anything is held against the request.
-func (e *entry) blamed() bool { return len(e.counting()) > 0 }
+// suspected reports whether any ends count against the request.
+func (e *entry) suspected() bool { return len(e.countedEnds()) > 0 }
 
-// covered tells whether the digest covers the entry.
-func (e *entry) covered() bool { return len(e.counting()) >= 2 }
+// inDigest reports whether the digest covers the entry.
+func (e *entry) inDigest() bool { return len(e.countedEnds()) >= 2 }
 
-// last returns when anything last happened.
-func (e *entry) last() model.Time {
+// lastEvent returns the time of the last end, answer or try.
+func (e *entry) lastEvent() model.Time {
 	out := max(e.Answered, e.Tried)
 	for _, end := range e.Ends {
 		out = max(out, end.At)
@@ -75,8 +75,8 @@
 	return out
 }
 
-func (e *entry) copied() Suspicion {
+func (e *entry) snapshot() Suspicion {
 	out := e.Suspicion
-	out.Ends = slices.Clone(e.counting())
+	out.Ends = slices.Clone(e.countedEnds())
 	return out
 }
--- a/core/suspect/suspect_test.go
+++ b/core/suspect/suspect_test.go
@@ -11,12 +11,12 @@
 
 const account = model.AccountID(7)
 
-// endedAt is the end of a backend server some time after it was sent a request, of which nothing came.
+// endedAt returns an end 100 ms after the request was sent, before any part of the answer.
 func endedAt(at model.Time, backend int) End {
 	return End{Backend: model.BackendID(backend), At: at, Ran: 100 * time.Millisecond}
 }
 
-func TestTwoEndsThatNothingElseExplainsHoldARequestBack(t *testing.T) {
+func TestTwoUnexplainedEndsHoldRequestBack(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	b.Ended(time.Second, 1, account, endedAt(time.Second, 1))
@@ -25,17 +25,17 @@
 	got := b.Judge(4*time.Second, 1)
 	is.True(got.Held && !got.Try)
 	is.Equal(got.Ends, 2)
-	is.True(got.RetryAfter > tryFirst-2*time.Second)
+	is.True(got.RetryAfter > firstTryDelay-2*time.Second)
 	is.True(!b.Judge(4*time.Second, 2).Held) // another request
 }
 
-func TestAWholeAnswerClears(t *testing.T) {
+func TestCompleteAnswerClearsRequest(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	b.Ended(time.Second, 1, account, endedAt(time.Second, 1))
 	is.True(!b.Answered(2*time.Second, 1))
 	b.Ended(3*time.Second, 1, account, endedAt(3*time.Second, 2))
-	is.True(!b.Judge(4*time.Second, 1).Held) // the ends aren't in a row
+	is.True(!b.Judge(4*time.Second, 1).Held) // the ends aren't consecutive
 	b.Ended(5*time.Second, 1, account, endedAt(5*time.Second, 3))
 	is.True(b.Judge(6*time.Second, 1).Held)
 	is.True(b.Answered(7*time.Second, 1))
@@ -43,7 +43,7 @@
 	is.Equal(len(b.Accounts()), 0)
 }
 
-func TestOneEndOfAServerCountsOnce(t *testing.T) {
+func TestRepeatedEndCountsOnce(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	for range 5 {
@@ -52,7 +52,7 @@
 	is.True(!b.Judge(2*time.Second, 1).Held)
 }
 
-func TestAServerThatStartsAgainUnderItsNameEndsAgain(t *testing.T) {
+func TestEndAfterRestartUnderSameNameCounts(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	b.Ended(time.Second, 1, account, endedAt(time.Second, 1))
@@ -62,30 +62,31 @@
 	is.True(b.Judge(5*time.Second, 1).Held)
 }
 
-// TestWhatIsToldLateIsNoOtherEnd tells of one end again and again, each time later than its age says.
-func TestWhatIsToldLateIsNoOtherEnd(t *testing.T) {
+// TestDelayedReportIsNoNewEnd guards against counting an end several times: reports of it arrive late, each with
+// another time.
+func TestDelayedReportIsNoNewEnd(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	for late := range 5 {
 		at := time.Duration(1+4*late) * time.Second
 		b.Take(at, Suspicion{Fingerprint: 1, Account: account, Ends: []End{endedAt(at, 1)}, Answered: Never, Tried: Never})
 	}
-	is.True(b.Knows(1))
+	is.True(b.Suspects(1))
 	is.True(!b.Judge(30*time.Second, 1).Held)
 }
 
-func TestARequestSentToAnEndedServerIsNotSuspected(t *testing.T) {
+func TestRequestSentToEndedServerIsNotSuspected(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	for backend := range 4 {
 		b.Ended(time.Second, 1, account, End{Backend: model.BackendID(backend), At: time.Second, Ran: time.Millisecond})
 	}
-	is.True(!b.Knows(1))
+	is.True(!b.Suspects(1))
 }
 
-// TestServersThatEndTogetherProveLittle ends two backend servers at a time, for a reason of their own, under a
-// request that runs on one of them.
-func TestServersThatEndTogetherProveLittle(t *testing.T) {
+// TestCorrelatedEndsCountLess ends two backend servers at a time, with a common cause, while a request runs
+// on one of them.
+func TestCorrelatedEndsCountLess(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	at := time.Second
@@ -94,7 +95,7 @@
 		b.Ended(at, 1, account, endedAt(at, backend))
 		at += time.Second
 	}
-	is.True(!b.Judge(at, 1).Held) // two alone would have held it
+	is.True(!b.Judge(at, 1).Held) // two uncorrelated ends would hold it back
 	b.Ended(at, 2, account, endedAt(at, 102))
 	b.Ended(at, 1, account, endedAt(at, 2))
 	got := b.Judge(at, 1)
@@ -107,8 +108,9 @@
 	is.True(!b.Judge(at+got.RetryAfter+time.Second, 1).Held)
 }
 
-// TestBystandersAreExplained lets a sound request run beside one that ends its servers, twice.
-func TestBystandersAreExplained(t *testing.T) {
+// TestEndsExplainedByAnotherRequest runs a harmless request twice beside one that crashes its backend servers: only the
+// latter is held back.
+func TestEndsExplainedByAnotherRequest(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	for backend := range 3 {
@@ -122,7 +124,7 @@
 	is.True(!b.Judge(4*time.Second, 2).Held)
 }
 
-func TestAFailedTryIsTheLastForLong(t *testing.T) {
+func TestFailedTryDelaysNextTry(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	b.Ended(time.Second, 1, account, endedAt(time.Second, 1))
@@ -131,32 +133,32 @@
 	is.True(b.Judge(at, 1).Try)
 	at += 100 * time.Millisecond
 	b.Ended(at, 1, account, endedAt(at, 3))
-	is.True(b.Judge(at, 1).RetryAfter >= tryLast)
+	is.True(b.Judge(at, 1).RetryAfter >= failedTryDelay)
 }
 
-func TestBooksAgreeInAnyOrder(t *testing.T) {
+func TestTakeIsIndependentOfOrder(t *testing.T) {
 	is := is.New(t)
-	var told []Suspicion
+	var sent []Suspicion
 	for backend := range 6 {
 		b := New(uint64(backend))
 		at := time.Duration(backend) * time.Second
 		b.Ended(at, model.Fingerprint(1+backend%2), account, endedAt(at, backend))
-		told = append(told, b.Tell(at)...)
+		sent = append(sent, b.Tell(at)...)
 	}
-	is.Equal(len(told), 6)
-	forth, back := New(1), New(2)
-	for i := range told {
-		forth.Take(10*time.Second, told[i])
-		back.Take(10*time.Second, told[len(told)-1-i])
-		back.Take(10*time.Second, told[len(told)-1-i])
+	is.Equal(len(sent), 6)
+	forward, reverse := New(1), New(2)
+	for i := range sent {
+		forward.Take(10*time.Second, sent[i])
+		reverse.Take(10*time.Second, sent[len(sent)-1-i])
+		reverse.Take(10*time.Second, sent[len(sent)-1-i])
 	}
-	is.True(forth.Digest() != 0)
-	is.Equal(forth.Digest(), back.Digest())
-	is.Equal(len(forth.Held()), 2)
-	is.Equal(len(back.Held()), 2)
+	is.True(forward.Digest() != 0)
+	is.Equal(forward.Digest(), reverse.Digest())
+	is.Equal(len(forward.Held()), 2)
+	is.Equal(len(reverse.Held()), 2)
 }
 
-func TestTheBookStaysSmall(t *testing.T) {
+func TestEntriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	b := New(1)
 	b.Ended(0, 1, account, endedAt(0, 1))
@@ -166,7 +168,7 @@
 		b.Ended(at, model.Fingerprint(10+i), account, endedAt(at, 100+i))
 	}
 	is.True(len(b.entries) <= maxEntries+maxEntries/8)
-	is.True(b.Judge(20*time.Second, 1).Held) // what is held back stays
+	is.True(b.Judge(20*time.Second, 1).Held) // held-back requests aren't evicted
 	b.Ended(time.Hour, 5, account, endedAt(time.Hour, 5))
 	is.Equal(len(b.entries), 1)
 }
@@ -178,7 +180,7 @@
 		book.Ended(at, model.Fingerprint(i), account, endedAt(at, i))
 		book.Ended(at, model.Fingerprint(i), account, endedAt(at, i+1))
 	}
-	book.judge()
+	book.evaluate()
 	for b.Loop() {
 		book.Judge(10*time.Second, 5)
 	}
