--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,5 +1,5 @@
-// Package kernel starts and stops the services of a process and lets them find
-// each other by name.
+// Package kernel starts and stops the services of a process in the order of their
+// dependencies, and looks them up by name.
 package kernel
 
 import (
@@ -12,51 +12,51 @@
 	"github.com/joomcode/errorx"
 )
 
-// Service is a part of the process with a life of its own.
+// Service is a part of the process that is started and stopped.
 type Service interface {
-	// Name is what other services find it by.
+	// Name returns the name that the service is registered under.
 	Name() string
-	// Needs names the services that must be started before it.
+	// Needs returns the names of the services that must be started before it.
 	Needs() []string
 	// Start returns once the service is usable.
 	Start(ctx context.Context, k *Kernel) error
-	// Stop returns once the service has ended; it is called only after a
+	// Stop returns once the service has stopped. It is called only after a
 	// successful Start.
 	Stop(ctx context.Context) error
 }
 
-// Beginner is a service that begins its work only once all services have been started. What it told others before would
-// be lost on those that start after it.
-type Beginner interface {
+// AfterStarter is a service that begins its work only once all services have been started: services that start after it
+// would miss earlier notifications from it.
+type AfterStarter interface {
 	Service
-	// Begin returns at once. It is called at most once.
-	Begin()
+	// AfterStart returns without blocking. It is called at most once.
+	AfterStart()
 }
 
-// The errors of the kernel.
+// Error types of the package.
 var (
 	namespace = errorx.NewNamespace("kernel")
-	// Unknown is the error for a name that no service has, or one of another type.
+	// Unknown is the type of errors for a name that isn't registered, or whose service has another Go type.
 	Unknown = namespace.NewType("unknown_service")
-	// Cycle is the error for services that need each other in a circle.
+	// Cycle is the type of errors for cyclic dependencies.
 	Cycle = namespace.NewType("cycle")
-	// Duplicate is the error for two services of one name.
+	// Duplicate is the type of errors for a name that is registered twice.
 	Duplicate = namespace.NewType("duplicate_service")
 )
 
-// Kernel holds the services.
+// Kernel holds the services of a process.
 type Kernel struct {
 	services map[string]Service
 	names    []string // in the order of registration
 	started  []Service
 }
 
-// New returns a kernel with the given services registered.
+// New returns a kernel with the given services registered, or an error of type Duplicate.
 func New(services ...Service) (*Kernel, error) {
 	k := &Kernel{services: map[string]Service{}}
 	for _, s := range services {
 		if k.services[s.Name()] != nil {
-			return nil, Duplicate.New("two services are named %q", s.Name())
+			return nil, Duplicate.New("duplicate service name %q", s.Name())
 		}
 		k.services[s.Name()] = s
 		k.names = append(k.names, s.Name())
@@ -64,12 +64,12 @@
 	return k, nil
 }
 
-// Lookup returns the service of that name as the type asked for.
+// Lookup returns the service with the given name as a T, or an error of type Unknown.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	s, ok := k.services[name]
 	if !ok {
-		return zero, Unknown.New("no service is named %q", name)
+		return zero, Unknown.New("service %q is not registered", name)
 	}
 	t, ok := s.(T)
 	if !ok {
@@ -78,8 +78,8 @@
 	return t, nil
 }
 
-// Start starts all services, each after those it needs, and then lets those begin that wait for all. Where one
-// fails, those already started are stopped and every failure is returned.
+// Start starts all services, each after its dependencies, and then calls AfterStart of those that have it. If a service
+// fails to start, those already started are stopped and all errors are returned.
 func (k *Kernel) Start(ctx context.Context) error {
 	order, err := k.order()
 	if err != nil {
@@ -87,32 +87,32 @@
 	}
 	for _, s := range order {
 		if err := s.Start(ctx, k); err != nil {
-			err = fmt.Errorf("service %q doesn't start: %w", s.Name(), err)
+			err = fmt.Errorf("start service %q: %w", s.Name(), err)
 			return errors.Join(err, k.Stop(ctx))
 		}
 		k.started = append(k.started, s)
 	}
 	for _, s := range order {
-		if b, ok := s.(Beginner); ok {
-			b.Begin()
+		if a, ok := s.(AfterStarter); ok {
+			a.AfterStart()
 		}
 	}
 	return nil
 }
 
-// Stop stops the started services in reverse and returns every failure.
+// Stop stops the started services in reverse order and returns all errors.
 func (k *Kernel) Stop(ctx context.Context) error {
-	var failures []error
+	var errs []error
 	for _, s := range slices.Backward(k.started) {
 		if err := s.Stop(ctx); err != nil {
-			failures = append(failures, fmt.Errorf("service %q doesn't stop: %w", s.Name(), err))
+			errs = append(errs, fmt.Errorf("stop service %q: %w", s.Name(), err))
 		}
 	}
 	k.started = nil
-	return errors.Join(failures...)
+	return errors.Join(errs...)
 }
 
-// order sorts the services so that each comes after those it needs.
+// order returns the services sorted so that each comes after its dependencies.
 func (k *Kernel) order() ([]Service, error) {
 	var out []Service
 	state := map[string]int{} // 1 being visited, 2 done
@@ -121,17 +121,17 @@
 		path = append(path, name)
 		s, ok := k.services[name]
 		if !ok {
-			return Unknown.New("no service is named %q, needed by %s", name, strings.Join(path[:len(path)-1], " by "))
+			return Unknown.New("service %q is not registered, but needed by %s", name, strings.Join(path[:len(path)-1], " by "))
 		}
 		if state[name] == 2 {
 			return nil
 		}
 		if state[name] == 1 {
-			return Cycle.New("services need each other: %s", strings.Join(path, ", "))
+			return Cycle.New("cyclic dependency of services: %s", strings.Join(path, ", "))
 		}
 		state[name] = 1
-		for _, need := range s.Needs() {
-			if err := visit(need, path); err != nil {
+		for _, dependency := range s.Needs() {
+			if err := visit(dependency, path); err != nil {
 				return err
 			}
 		}
@@ -141,7 +141,7 @@
 	}
 	for _, name := range k.names {
 		if err := visit(name, nil); err != nil {
-			return nil, fmt.Errorf("services can't be ordered: %w", err)
+			return nil, fmt.Errorf("order services: %w", err)
 		}
 	}
 	return out, nil
--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// fake is a service that notes what happens to it.
+// fake is a service that records the calls of its methods.
 type fake struct {
 	name        string
 	needs       []string
@@ -45,16 +45,16 @@
 	is.Equal(strings.Join(events, ", "), "start log, start back, start front, stop front, stop back, stop log")
 }
 
-// waiting is a service that begins once all are started.
-type waiting struct{ fake }
+// afterStarter is a fake service with AfterStart.
+type afterStarter struct{ fake }
 
-func (w *waiting) Begin() { *w.events = append(*w.events, "begin "+w.name) }
+func (a *afterStarter) AfterStart() { *a.events = append(*a.events, "begin "+a.name) }
 
-func TestBeginnersWaitForAll(t *testing.T) {
+func TestAfterStartIsCalledOnceAllAreStarted(t *testing.T) {
 	is := is.New(t)
 	var events []string
 	k, err := New(
-		&waiting{fake{name: "core", events: &events}},
+		&afterStarter{fake{name: "core", events: &events}},
 		&fake{name: "front", needs: []string{"core"}, events: &events},
 	)
 	is.NoErr(err)
@@ -65,7 +65,7 @@
 	events = nil
 	broken := errors.New("broken")
 	k, err = New(
-		&waiting{fake{name: "core", events: &events}},
+		&afterStarter{fake{name: "core", events: &events}},
 		&fake{name: "front", needs: []string{"core"}, start: broken, events: &events},
 	)
 	is.NoErr(err)
@@ -73,7 +73,7 @@
 	is.Equal(strings.Join(events, ", "), "start core, start front, stop core")
 }
 
-func TestFailuresAreReportedTogether(t *testing.T) {
+func TestStartReturnsAllErrors(t *testing.T) {
 	is := is.New(t)
 	var events []string
 	broken, stuck := errors.New("broken"), errors.New("stuck")
@@ -85,10 +85,10 @@
 	is.NoErr(err)
 	err = k.Start(context.Background())
 	is.True(errors.Is(err, broken) && errors.Is(err, stuck))
-	is.Equal(strings.Join(events, ", "), "start a, start b, stop a") // what failed isn't stopped
+	is.Equal(strings.Join(events, ", "), "start a, start b, stop a") // a service that failed to start isn't stopped
 }
 
-func TestBadServices(t *testing.T) {
+func TestInvalidServices(t *testing.T) {
 	is := is.New(t)
 	_, err := New(&fake{name: "a"}, &fake{name: "a"})
 	is.True(errorx.IsOfType(err, Duplicate))
