--- a/scheduler/afterstart_test.go
+++ b/scheduler/afterstart_test.go
@@ -15,36 +15,31 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// What was seen: now and then a router never heard of an evacuation, for a minute and more: no router of its fleet
-// watched the store.
-//
-// How it came about: the core took its first step as soon as the scheduler was started, and said in it that this router
-// watches the store and that the store is to be asked. The service that does both starts after the scheduler; on a busy machine
-// it wasn't there yet. The core says each of them once.
-//
-// Proof: a pause of 200 ms before that service observes the core makes the router miss the evacuation each time.
-
-// late is a service that takes a while to start, and then observes the core.
-type late struct {
+// slowObserver is a service that takes a while to start, and then observes the core.
+type slowObserver struct {
 	watch   chan bool
 	contact chan struct{}
 }
 
-func (late) Name() string               { return "late" }
-func (late) Needs() []string            { return []string{ServiceName} }
-func (late) Stop(context.Context) error { return nil }
+func (slowObserver) Name() string               { return "late" }
+func (slowObserver) Needs() []string            { return []string{ServiceName} }
+func (slowObserver) Stop(context.Context) error { return nil }
 
-func (l late) Start(_ context.Context, k *kernel.Kernel) error {
+func (o slowObserver) Start(_ context.Context, k *kernel.Kernel) error {
 	s, err := kernel.Lookup[*Service](k, ServiceName)
 	if err != nil {
 		return err
 	}
 	time.Sleep(100 * time.Millisecond)
-	s.Observe(Observer{Store: func(watch bool) { l.watch <- watch }, Contact: func() { l.contact <- struct{}{} }})
+	s.Observe(Observer{Store: func(watch bool) { o.watch <- watch }, Contact: func() { o.contact <- struct{}{} }})
 	return nil
 }
 
-func TestObserversThatStartLateMissNothing(t *testing.T) {
+// TestSlowObserverMissesNothing guards against a fleet in which no router watches the store, so that an evacuation isn't
+// applied for a minute or more. The core requests the watch of the store, and a contact with it, only once, in its first
+// step. If it takes that step when the scheduler starts, a service that starts later, on a busy VM, misses both: a pause
+// of 200 ms before that service observed the core sufficed each time.
+func TestSlowObserverMissesNothing(t *testing.T) {
 	is := is.New(t)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -52,7 +47,7 @@
 	is.NoErr(free.Close())
 	metrics := telemetry.NewMetrics()
 	self := member.Member{Name: "a", Address: address, DataHall: "hall", Boot: 1}
-	observer := late{watch: make(chan bool, 1), contact: make(chan struct{}, 1)}
+	observer := slowObserver{watch: make(chan bool, 1), contact: make(chan struct{}, 1)}
 	k, err := kernel.New(
 		peer.New(peer.Settings{Name: "a", Boot: 1, Listen: address, Key: []byte("key")}, metrics.Peer),
 		New(self, zerolog.Nop(), metrics), observer,
@@ -64,11 +59,11 @@
 	case watch := <-observer.watch:
 		is.True(watch)
 	case <-time.After(10 * time.Second):
-		t.Fatal("never told to watch the store")
+		t.Fatal("watching the store was never requested")
 	}
 	select {
 	case <-observer.contact:
 	case <-time.After(10 * time.Second):
-		t.Fatal("never told to ask the store")
+		t.Fatal("contacting the store was never requested")
 	}
 }
--- a/scheduler/lag.go
+++ b/scheduler/lag.go
@@ -6,33 +6,32 @@
 )
 
 const (
-	// lagFrom is how late the process may come to what is due, in the mean,
-	// before it counts as behind.
-	lagFrom = 30 * time.Millisecond
-	// maxLag is the most that one time counts for: a process that was paused was
-	// late once, which doesn't tell that it can't keep up.
-	maxLag = 4 * lagFrom
-	// lateFrom is how late it may come to one thing before it can't judge by others' silence: two thirds of the time in
-	// which the probes of package member are answered.
-	lateFrom = 100 * time.Millisecond
-	// lagWeight is the part, one in so many, of the newest time in the mean.
+	// behindThreshold is the mean lag above which the process counts as behind.
+	behindThreshold = 30 * time.Millisecond
+	// maxSample limits a single sample: a process that was paused once
+	// isn't overloaded.
+	maxSample = 4 * behindThreshold
+	// lateThreshold is the lag of a single event above which the process must not suspect other routers: two thirds of
+	// the time-out of the probes of package member.
+	lateThreshold = 100 * time.Millisecond
+	// lagWeight is the reciprocal of the newest sample's weight in the mean.
 	lagWeight = 16
 )
 
-// lag is the mean of how late this process comes to what is due: a timer that goes
-// off, or an event that another goroutine has for the core. Where goroutines wait
-// for the processor, both do.
+// lag is the moving mean of the delay with which this process handles timers
+// and events for the core. When goroutines wait for the processor,
+// both are delayed.
 type lag struct{ mean atomic.Int64 } // nanoseconds
 
-// note takes how late something was. Only the core's goroutine calls it.
-func (l *lag) note(late time.Duration) {
+// record adds a sample. Only the core's goroutine calls it.
+func (l *lag) record(late time.Duration) {
 	mean := l.mean.Load()
-	l.mean.Store(mean + (int64(min(max(late, 0), maxLag))-mean)/lagWeight)
+	l.mean.Store(mean + (int64(min(max(late, 0), maxSample))-mean)/lagWeight)
 }
 
-// ofAnswers returns how late this process takes an answer for begun: the goroutine
-// that reads it and then the core come late.
-func (l *lag) ofAnswers() time.Duration { return 2 * time.Duration(l.mean.Load()) }
+// answerDelay returns the expected delay until the core processes the beginning of an answer:
+// that of the goroutine that reads it and that of the core.
+func (l *lag) answerDelay() time.Duration { return 2 * time.Duration(l.mean.Load()) }
 
-// behind tells whether the process can't keep up.
-func (l *lag) behind() bool { return time.Duration(l.mean.Load()) > lagFrom }
+// behind reports whether the mean exceeds behindThreshold.
+func (l *lag) behind() bool { return time.Duration(l.mean.Load()) > behindThreshold }
--- a/scheduler/lag_test.go
+++ b/scheduler/lag_test.go
@@ -7,22 +7,22 @@
 	"github.com/matryer/is"
 )
 
-func TestOnePauseIsNotBeingBehind(t *testing.T) {
+func TestSinglePauseIsNotBehind(t *testing.T) {
 	is := is.New(t)
 	l := &lag{}
-	l.note(time.Minute)
+	l.record(time.Minute)
 	is.True(!l.behind())
 }
 
-func TestLateTimersAreBeingBehind(t *testing.T) {
+func TestRepeatedLagIsBehind(t *testing.T) {
 	is := is.New(t)
 	l := &lag{}
 	for range 5 {
-		l.note(time.Second)
+		l.record(time.Second)
 	}
 	is.True(l.behind())
 	for range 4 * lagWeight {
-		l.note(0)
+		l.record(0)
 	}
 	is.True(!l.behind())
 }
--- a/scheduler/log_test.go
+++ b/scheduler/log_test.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// keysOf returns the keys of a log line, as often as each stands there.
+// keysOf returns the keys of a log line, with the number of their occurrences.
 func keysOf(t *testing.T, line []byte) map[string]int {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(line))
@@ -35,9 +35,9 @@
 	return keys
 }
 
-// TestLogKeysStandOnce is of lines that named another router by the key under which each line names its writer: a parser
-// keeps one of the two.
-func TestLogKeysStandOnce(t *testing.T) {
+// TestLogKeysAreUnique guards against log lines that use the key of the router that writes them for another router
+// as well: a parser keeps only one of the two values.
+func TestLogKeysAreUnique(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	log := zerolog.New(&out).With().Timestamp().Str("router", "writer").Logger()
@@ -55,7 +55,7 @@
 		is.True(out.Len() > 0)
 		for key, n := range keysOf(t, out.Bytes()) {
 			if n != 1 {
-				t.Errorf("%d times %q in %s", n, key, out.Bytes())
+				t.Errorf("%d occurrences of %q in %s", n, key, out.Bytes())
 			}
 		}
 	}
--- a/scheduler/observer.go
+++ b/scheduler/observer.go
@@ -7,51 +7,51 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Observer is told of what the core wants from another service. Its functions,
+// Observer receives the core's notifications and requests to other services. Its functions,
 // any of which may be nil, are called from the core's goroutine and must not
 // block.
 type Observer struct {
-	// Loads is given the backend servers whose load is to be asked for.
+	// Loads receives the backend servers whose load is to be polled.
 	Loads func(backends []model.BackendID)
-	// Generation is given a router that has something newer in force.
+	// Generation receives a router that has a newer generation in force.
 	Generation func(core.GenerationSeen)
-	// Store tells whether the store is to be watched.
+	// Store receives whether the store is to be watched.
 	Store func(watch bool)
-	// Returned tells that calls of the store that wait may never be answered, and that new
+	// Returned is called when the store answers again: pending calls may never be answered, new
 	// ones are.
 	Returned func()
-	// Contact asks whether the store answers; core.StoreContacted is to be told.
+	// Contact requests a call of the store; the result is sent to the core as core.StoreContacted.
 	Contact func()
-	// Slept is told that the machine was suspended, after the core's time has gone on by as long.
+	// Slept receives how long the VM was suspended, after the core's time has been advanced by that.
 	Slept func(time.Duration)
-	// Held is given each request that is held back from now on, or isn't any more.
+	// Held receives each change of whether a request is held back, and each failed try of one.
 	Held func(core.HeldChanged)
-	// Try is asked whether a request that is held back may be tried; core.TryAnswered is to be told. Where nobody is asked,
-	// each router decides by itself.
+	// Try requests permission for a try of a held-back request; the result is sent to the core as core.TryAnswered. If no
+	// observer has it, each router decides on its own.
 	Try func(core.AskTry)
 }
 
-// Observe adds an observer; it must be done before events come.
+// Observe adds an observer. It must be called before the core processes events.
 func (s *Service) Observe(o Observer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observers = append(s.observers, o)
 }
 
-// signal calls a function of each observer that has it.
-func (s *Service) signal(of func(Observer) func()) {
+// notify calls the selected function of each observer that has it.
+func (s *Service) notify(function func(Observer) func()) {
 	s.eachObserver(func(o Observer) {
-		if tell := of(o); tell != nil {
-			tell()
+		if call := function(o); call != nil {
+			call()
 		}
 	})
 }
 
-func (s *Service) eachObserver(tell func(Observer)) {
+func (s *Service) eachObserver(call func(Observer)) {
 	s.mu.Lock()
 	observers := s.observers
 	s.mu.Unlock()
 	for _, o := range observers {
-		tell(o)
+		call(o)
 	}
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -4,15 +4,15 @@
 	"github.com/tamarindstep/tamarindstep/core"
 )
 
-// Request is a request's hold on the core.
+// Request is the handle of a request that has been submitted to the core.
 type Request struct {
 	service *Service
 	id      core.RequestID
-	// Decisions gives the core's decision, and another after each NotSent.
+	// Decisions receives the core's decision, and another one after each Retry.
 	Decisions chan Decision
 }
 
-// Submit lets a request wait for a backend server.
+// Submit sends a new request to the core.
 func (s *Service) Submit(a core.Arrive) *Request {
 	s.mu.Lock()
 	s.nextID++
@@ -20,42 +20,42 @@
 	r := &Request{service: s, id: a.ID, Decisions: make(chan Decision, 1)}
 	s.waiters[a.ID] = r.Decisions
 	s.mu.Unlock()
-	a.Lag = s.lag.ofAnswers()
+	a.Lag = s.lag.answerDelay()
 	s.Tell(a)
 	return r
 }
 
-// Progress tells how many tokens of output have flowed.
+// Progress reports the number of tokens of output delivered so far.
 func (r *Request) Progress(output float64) {
 	r.service.Tell(core.Progress{ID: r.id, Output: output})
 }
 
-// Began tells that the answer has begun.
+// Began reports that the answer has begun.
 func (r *Request) Began() {
 	r.service.Tell(core.Began{ID: r.id})
 }
 
-// Retry gives the request back after nothing of it was sent; the next decision
+// Retry returns the request to the core after no part of it was sent. Another decision
 // follows.
 func (r *Request) Retry() {
 	r.service.Tell(core.Finish{ID: r.id, Ending: core.NotSent})
 }
 
-// Finish ends the request.
+// Finish reports the end of the request, with its tokens of output.
 func (r *Request) Finish(output float64, ending core.Ending) {
-	r.forget()
+	r.removeWaiter()
 	r.service.Tell(core.Finish{ID: r.id, Output: output, Ending: ending})
 }
 
-// Abandon takes the request back while it waits.
+// Abandon withdraws a waiting request.
 func (r *Request) Abandon() {
-	r.forget()
+	r.removeWaiter()
 	r.service.Tell(core.Abandon{ID: r.id})
 }
 
-func (r *Request) forget() {
+func (r *Request) removeWaiter() {
 	r.service.mu.Lock()
 	defer r.service.mu.Unlock()
 	delete(r.service.waiters, r.id)
-	delete(r.service.asked, r.id)
+	delete(r.service.tryRequested, r.id)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
-// Package scheduler drives the decision core with real time, real datagrams
-// and real requests. It holds no decision of its own.
+// Package scheduler runs the decision core with real time, real datagrams
+// and real requests. It makes no decisions itself.
 package scheduler
 
 import (
@@ -25,13 +25,13 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name that the service is registered under.
 const ServiceName = "scheduler"
 
-// queueSize is how many events may wait for the core.
+// queueSize is the number of events that may be queued for the core.
 const queueSize = 4096
 
-// Decision is the core's answer for a request: either a backend server or a
+// Decision is the core's decision on a request: either a backend server or a
 // refusal.
 type Decision struct {
 	Dispatched bool
@@ -39,83 +39,83 @@
 	Waited     time.Duration
 	Refusal    core.Refusal
 	RetryAfter time.Duration
-	// Holds is how long the reason of a refusal is expected to hold for others of the account and route.
+	// Holds is how long the reason for a refusal is expected to apply to other requests of the account and route.
 	Holds time.Duration
 
-	Basis prompt.Basis // what decided, where the policy decides by prompt
+	Basis prompt.Basis // reason for the decision, if the policy decides by prompt
 	// CopyFrom is the backend server to copy parts of the prompt from, 0 for none.
 	CopyFrom model.BackendID
 	Copied   int // tokens
 }
 
-// told is an event for the core, and when it was told.
-type told struct {
-	event core.Event
-	at    model.Time
+// queuedEvent is an event for the core, and when it was queued.
+type queuedEvent struct {
+	event    core.Event
+	queuedAt model.Time
 }
 
-// Service drives the core.
+// Service runs the core.
 type Service struct {
 	self    member.Member
 	log     zerolog.Logger
 	metrics *telemetry.Metrics
-	events  chan told
-	ask     chan func(*core.Core)
+	events  chan queuedEvent
+	reads   chan func(*core.Core)
 	clock   *clock.Clock
-	began   time.Duration // by the clock
+	epoch   time.Duration // clock reading at time 0 of the core
 	peers   *peer.Service
 
-	mu        sync.Mutex
-	nextID    core.RequestID
-	waiters   map[core.RequestID]chan Decision
-	asked     map[core.RequestID]model.Time // of those whose try was asked for, since when
-	observers []Observer
+	mu           sync.Mutex
+	nextID       core.RequestID
+	waiters      map[core.RequestID]chan Decision
+	tryRequested map[core.RequestID]model.Time // when a try was requested
+	observers    []Observer
 
-	turnedAway turnedAway
+	unread unreadBatch
 
-	reached   atomic.Int64 // when the store was last reached by a router that watches it, as a model.Time
-	suspected atomic.Pointer[map[model.AccountID]bool]
+	storeReached      atomic.Int64 // when a router that watches the store last reached it, as a model.Time
+	suspectedAccounts atomic.Pointer[map[model.AccountID]bool]
 
-	retries    retry.Limits
-	cold       cold.Limits
-	loadsBytes float64
-	hallHomes  bool
-	lag        lag
+	retries     retry.Limits
+	cold        cold.Limits
+	loadsBytes  float64
+	homePerHall bool
+	lag         lag
 
-	until  context.Context
-	cancel context.CancelFunc
-	begun  bool
-	ended  chan struct{}
+	ctx     context.Context
+	cancel  context.CancelFunc
+	running bool
+	done    chan struct{}
 }
 
-// LimitRetries sets the fleet's retry budget; it must be done before the start.
+// LimitRetries sets the fleet's retry budget. It must be called before Start.
 func (s *Service) LimitRetries(limits retry.Limits) { s.retries = limits }
 
-// LimitCold sets how far above its rate a backend server may be sent to that is slow from
-// its start; it must be done before the start.
+// LimitCold sets how far above its rate a backend server that is still slow after its start
+// may be loaded. It must be called before Start.
 func (s *Service) LimitCold(limits cold.Limits) { s.cold = limits }
 
-// HomesInHalls lets prompts that share parts have a home in each data hall, and not one in the
-// fleet; it must be said before the start.
-func (s *Service) HomesInHalls() { s.hallHomes = true }
+// HomesInHalls gives prompts that share parts a home in each data hall, instead of one in the
+// fleet. It must be called before Start.
+func (s *Service) HomesInHalls() { s.homePerHall = true }
 
-// LimitLoads sets the bytes a second that each router is told of the others' requests; it
-// must be done before the start.
+// LimitLoads sets the bandwidth, in bytes per second, of the load reports sent to each router.
+// It must be called before Start.
 func (s *Service) LimitLoads(bytesPerSecond float64) { s.loadsBytes = bytesPerSecond }
 
-// New returns the service of a router.
+// New returns the scheduler of the router self.
 func New(self member.Member, log zerolog.Logger, metrics *telemetry.Metrics) *Service {
 	return &Service{
-		self:    self,
-		log:     log,
-		metrics: metrics,
-		events:  make(chan told, queueSize),
-		ask:     make(chan func(*core.Core)),
-		clock:   clock.System,
-		began:   clock.System.Now(),
-		waiters: map[core.RequestID]chan Decision{},
-		asked:   map[core.RequestID]model.Time{},
-		ended:   make(chan struct{}),
+		self:         self,
+		log:          log,
+		metrics:      metrics,
+		events:       make(chan queuedEvent, queueSize),
+		reads:        make(chan func(*core.Core)),
+		clock:        clock.System,
+		epoch:        clock.System.Now(),
+		waiters:      map[core.RequestID]chan Decision{},
+		tryRequested: map[core.RequestID]model.Time{},
+		done:         make(chan struct{}),
 
 		loadsBytes: core.DefaultLoadsBytes,
 		cold:       cold.Limits{Overshoot: 1},
@@ -135,64 +135,64 @@
 		return err
 	}
 	s.peers = peers
-	s.until, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
+	s.ctx, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	peers.OnDatagram(func(d *wire.Datagram) { s.Tell(core.Receive{Datagram: d}) })
 	return nil
 }
 
-// Begin implements kernel.Beginner. The core takes its first step once all that observe it are there: what it says then, as
-// that this router watches the store, it says once. A router that was started beside busy processes now and then
-// followed the store no more, and heard of no evacuation for a minute and longer.
-func (s *Service) Begin() {
-	s.begun = true
-	go s.run(s.until)
+// AfterStart implements kernel.AfterStarter. The core takes its first step once all observers are registered: it sends
+// the actions of that step, such as the request to watch the store, only once. Otherwise a router started on a busy VM
+// sometimes didn't watch the store, and didn't apply an evacuation for a minute or longer.
+func (s *Service) AfterStart() {
+	s.running = true
+	go s.run(s.ctx)
 }
 
 // Stop implements kernel.Service.
 func (s *Service) Stop(context.Context) error {
 	s.peers.OnDatagram(nil)
 	s.cancel()
-	if !s.begun {
-		close(s.ended)
+	if !s.running {
+		close(s.done)
 	}
-	<-s.ended
+	<-s.done
 	return nil
 }
 
-var _ kernel.Beginner = (*Service)(nil)
+var _ kernel.AfterStarter = (*Service)(nil)
 
-// Tell gives the core an event.
+// Tell queues an event for the core. It blocks while the queue is full.
 func (s *Service) Tell(e core.Event) {
 	select {
-	case s.events <- told{e, s.now()}:
-	case <-s.ended:
+	case s.events <- queuedEvent{e, s.now()}:
+	case <-s.done:
 	}
 }
 
-// Behind tells whether this process can't keep up: events wait, or what is due is
-// late.
+// Behind reports whether this process is overloaded: many events are queued, or its
+// mean lag is large.
 func (s *Service) Behind() bool {
-	return len(s.events) > behindFrom || s.lag.behind()
+	return len(s.events) > behindQueue || s.lag.behind()
 }
 
-// Late returns how late this process comes to what is due, in the mean.
+// Late returns the mean delay with which this process handles timers and events.
 func (s *Service) Late() time.Duration { return time.Duration(s.lag.mean.Load()) }
 
-// behindFrom is how many events wait when the process counts as behind.
-const behindFrom = 200
+// behindQueue is the number of queued events above which the process counts as behind.
+const behindQueue = 200
 
-// StoreUnheard returns how long ago a router that watches the store has reached it, as far as this router knows: what the
-// operators have written since may not be known here.
-func (s *Service) StoreUnheard() time.Duration { return s.now() - model.Time(s.reached.Load()) }
+// StoreUnheard returns the time since a router that watches the store last reached it, according to the reports received.
+// Later writes of the operators may not have been received.
+func (s *Service) StoreUnheard() time.Duration { return s.now() - model.Time(s.storeReached.Load()) }
 
-// Look runs a function on the core, between two events, and waits for it. The
+// Look calls a function with the core, between two events, and waits for its return. The
 // function must only read.
-func (s *Service) Look(look func(*core.Core)) {
+func (s *Service) Look(read func(*core.Core)) {
 	done := make(chan struct{})
 	select {
-	case s.ask <- func(c *core.Core) { look(c); close(done) }:
+	case s.reads <- func(c *core.Core) { read(c); close(done) }:
 		<-done
-	case <-s.ended:
+	case <-s.done:
 	}
 }
 
@@ -201,12 +201,12 @@
 	s.Tell(core.Configure{Config: c.Core})
 }
 
-// now is the time since the service was made, in which the machine may have slept.
-func (s *Service) now() model.Time { return s.clock.Since(s.began) }
+// now returns the time since New, including times at which the VM was suspended.
+func (s *Service) now() model.Time { return s.clock.Since(s.epoch) }
 
-// noteSleep notes that the machine was suspended. By the core's time all that it believes is older by as long
-// already; the other services are told what becomes of theirs.
-func (s *Service) noteSleep() {
+// checkSuspension checks whether the VM was suspended, and notifies the observers. The core's time includes
+// the suspension already; the other services adjust their own.
+func (s *Service) checkSuspension() {
 	slept := s.clock.Look()
 	if slept == 0 {
 		return
@@ -220,15 +220,15 @@
 }
 
 func (s *Service) run(ctx context.Context) {
-	defer close(s.ended)
+	defer close(s.done)
 	c := core.New(s.now(), s.self, rand.Uint64())
 	c.LimitRetries(s.retries)
 	c.LimitLoads(s.loadsBytes)
 	c.LimitCold(s.cold)
-	if s.hallHomes {
+	if s.homePerHall {
 		c.HomesInHalls()
 	}
-	if s.tryIsAsked() {
+	if s.hasTryObserver() {
 		c.AskForTries()
 	}
 	timer := time.NewTimer(0)
@@ -238,16 +238,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-s.events:
-			s.noteSleep()
-			s.noteLag(c, s.now()-t.at)
-			s.metrics.Share.EventWait.Observe((s.now() - t.at).Seconds())
-			s.step(c, t.event)
-		case look := <-s.ask:
-			look(c)
+		case e := <-s.events:
+			s.checkSuspension()
+			s.recordLag(c, s.now()-e.queuedAt)
+			s.metrics.Share.EventWait.Observe((s.now() - e.queuedAt).Seconds())
+			s.step(c, e.event)
+		case read := <-s.reads:
+			read(c)
 		case <-timer.C:
-			s.noteSleep()
-			s.noteLag(c, s.now()-due)
+			s.checkSuspension()
+			s.recordLag(c, s.now()-due)
 			s.step(c, core.Tick{})
 		}
 		due = max(c.Wake(), s.now())
@@ -255,21 +255,21 @@
 	}
 }
 
-// noteLag takes how late this process came to something, and tells the core where it is late.
-func (s *Service) noteLag(c *core.Core, late time.Duration) {
-	s.lag.note(late)
-	if late > lateFrom || s.lag.behind() {
+// recordLag records the delay of a timer or event, and reports to the core if the process is late.
+func (s *Service) recordLag(c *core.Core, late time.Duration) {
+	s.lag.record(late)
+	if late > lateThreshold || s.lag.behind() {
 		c.Late(s.now())
 	}
 }
 
 func (s *Service) step(c *core.Core, e core.Event) {
-	began := time.Now()
-	defer func() { s.metrics.Share.Step.Observe(time.Since(began).Seconds()) }()
+	start := time.Now()
+	defer func() { s.metrics.Share.Step.Observe(time.Since(start).Seconds()) }()
 	actions := c.Step(s.now(), e)
-	s.metrics.Share.StepTime.Add(time.Since(began).Seconds())
+	s.metrics.Share.StepTime.Add(time.Since(start).Seconds())
 	s.metrics.Share.Steps.Inc()
-	s.reached.Store(int64(c.StoreReached()))
+	s.storeReached.Store(int64(c.StoreReached()))
 	for _, a := range actions {
 		if _, changed := a.(core.MemberChanged); changed {
 			s.metrics.Share.Members.Set(float64(c.Live()))
@@ -281,13 +281,13 @@
 func (s *Service) act(a core.Action) {
 	switch a := a.(type) {
 	case core.Dispatch:
-		s.decide(a.ID, Decision{
+		s.deliver(a.ID, Decision{
 			Dispatched: true, Backend: a.Backend, Waited: a.Waited,
 			Basis:    a.Basis,
 			CopyFrom: a.CopyFrom, Copied: a.Copied,
 		})
 	case core.Refuse:
-		s.decide(a.ID, Decision{Refusal: a.Reason, RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis, Holds: a.Holds})
+		s.deliver(a.ID, Decision{Refusal: a.Reason, RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis, Holds: a.Holds})
 	case core.Send:
 		s.send(a)
 	case core.Watch:
@@ -306,9 +306,9 @@
 		})
 	case core.StoreReturned:
 		s.log.Info().Dur("silent_ms", a.Silent).Msg("the store answers again")
-		s.signal(func(o Observer) func() { return o.Returned })
+		s.notify(func(o Observer) func() { return o.Returned })
 	case core.ContactStore:
-		s.signal(func(o Observer) func() { return o.Contact })
+		s.notify(func(o Observer) func() { return o.Contact })
 	case core.GenerationSeen:
 		s.eachObserver(func(o Observer) {
 			if o.Generation != nil {
@@ -318,13 +318,13 @@
 	case core.Suspected:
 		s.setSuspected(a.Accounts)
 	case core.HeldChanged:
-		s.noteHeld(a)
+		s.reportHeld(a)
 	case core.AskTry:
-		s.askTry(a)
+		s.requestTry(a)
 	case core.Tried:
 		s.log.Info().Stringer("fingerprint", a.Fingerprint).Int("ends", a.Ends).Msg("held-back request tried")
 	case core.MemberChanged:
-		s.logChange(a.Change)
+		s.logMember(a.Change)
 	case core.RelayChanged:
 		s.log.Info().Str("from", a.From).Str("to", a.To).Int("unconfirmed", a.Unconfirmed).Msg("relay changed")
 	case core.LoadsOverdue:
@@ -334,7 +334,7 @@
 	}
 }
 
-// logOverdue notes that a router's load reports don't arrive, or do again.
+// logOverdue logs that a router's load reports are overdue, or arrive again.
 func (s *Service) logOverdue(a core.LoadsOverdue) {
 	message := "load reports overdue"
 	if a.Again {
@@ -345,7 +345,7 @@
 		Int("dropped", a.Dropped).Str("because", a.Because).Int("overdue", a.Overdue).Msg(message)
 }
 
-// send sends a datagram, and counts it where it leaves the data hall.
+// send sends a datagram, and counts its bytes if the receiver is in another data hall.
 func (s *Service) send(a core.Send) {
 	bytes := s.peers.Send(a.Address, a.Datagram)
 	if a.Far {
@@ -353,9 +353,9 @@
 	}
 }
 
-// logChange notes a change of a router's status. Those that are new are counted only: at
-// the start of a fleet each router learns of all others.
-func (s *Service) logChange(change member.Change) {
+// logMember logs a change of a router's status. New routers aren't logged: when a fleet starts,
+// each router adds all others.
+func (s *Service) logMember(change member.Change) {
 	if change.New {
 		return
 	}
@@ -363,12 +363,12 @@
 		Bool("restarted", change.Restarted).Msg("router changed")
 }
 
-func (s *Service) decide(id core.RequestID, d Decision) {
+func (s *Service) deliver(id core.RequestID, d Decision) {
 	s.mu.Lock()
 	waiter := s.waiters[id]
-	if at, asked := s.asked[id]; asked {
-		d.Waited = s.now() - at // for the store, and then for its turn
-		delete(s.asked, id)
+	if at, requested := s.tryRequested[id]; requested {
+		d.Waited = s.now() - at // for the store's answer, and then for a decision
+		delete(s.tryRequested, id)
 	}
 	if !d.Dispatched {
 		delete(s.waiters, id)
--- a/scheduler/suspected.go
+++ b/scheduler/suspected.go
@@ -5,10 +5,10 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Suspects tells whether backend servers have ended under a request of an account. Only then are its
-// requests known by fingerprint, so that all others cost nothing.
+// Suspects reports whether an account has suspected requests. Only then are its requests
+// fingerprinted, which saves the cost for all other accounts.
 func (s *Service) Suspects(account model.AccountID) bool {
-	accounts := s.suspected.Load()
+	accounts := s.suspectedAccounts.Load()
 	return accounts != nil && (*accounts)[account]
 }
 
@@ -17,11 +17,11 @@
 	for _, id := range accounts {
 		set[id] = true
 	}
-	s.suspected.Store(&set)
+	s.suspectedAccounts.Store(&set)
 }
 
-// noteHeld hands on that a request is held back, or isn't any more, or that a try of it has failed.
-func (s *Service) noteHeld(a core.HeldChanged) {
+// reportHeld logs and sends to the observers that a request is held back, or no longer, or that a try of it has failed.
+func (s *Service) reportHeld(a core.HeldChanged) {
 	s.logHeld(a)
 	s.eachObserver(func(o Observer) {
 		if o.Held != nil {
@@ -30,11 +30,11 @@
 	})
 }
 
-// askTry asks whoever grants tries.
-func (s *Service) askTry(a core.AskTry) {
+// requestTry sends the request for a try to the observers.
+func (s *Service) requestTry(a core.AskTry) {
 	s.mu.Lock()
 	if s.waiters[a.ID] != nil {
-		s.asked[a.ID] = s.now()
+		s.tryRequested[a.ID] = s.now()
 	}
 	s.mu.Unlock()
 	s.eachObserver(func(o Observer) {
@@ -44,14 +44,15 @@
 	})
 }
 
-// tryIsAsked tells whether anybody grants tries.
-func (s *Service) tryIsAsked() bool {
-	asked := false
-	s.eachObserver(func(o Observer) { asked = asked || o.Try != nil })
-	return asked
+// hasTryObserver reports whether an observer grants tries.
+func (s *Service) hasTryObserver() bool {
+	found := false
+	s.eachObserver(func(o Observer) { found = found || o.Try != nil })
+	return found
 }
 
-// logHeld notes that a request is held back, or isn't any more, and counts those that are.
+// logHeld logs that a request is held back, or no longer, or that a try has failed, and updates the number of those held
+// back.
 func (s *Service) logHeld(a core.HeldChanged) {
 	line := s.log.Info().Stringer("fingerprint", model.Fingerprint(a.Suspicion.Fingerprint)).Bool("seen", a.Seen)
 	if !a.Held {
--- a/scheduler/suspected_test.go
+++ b/scheduler/suspected_test.go
@@ -12,21 +12,21 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestAnAskedTryIsNoLateDecision guards against a store that is slow to grant a try making the router take itself for busy, and
-// refuse requests that aren't suspected.
-func TestAnAskedTryIsNoLateDecision(t *testing.T) {
+// TestTryGrantCountsAsWaiting guards against a store that is slow to grant a try: if that time isn't part of the
+// request's wait, the router considers itself overloaded and refuses requests that aren't suspected.
+func TestTryGrantCountsAsWaiting(t *testing.T) {
 	is := is.New(t)
 	s := New(member.Member{Name: "router-1", Boot: 1}, zerolog.Nop(), telemetry.NewMetrics())
-	const storeTakes = 20 * time.Millisecond
+	const grantDelay = 20 * time.Millisecond
 	for _, d := range []Decision{{Dispatched: true}, {Refusal: core.HeldBack}} {
 		r := s.Submit(core.Arrive{})
-		s.askTry(core.AskTry{ID: r.id})
-		time.Sleep(storeTakes)
-		s.decide(r.id, d)
-		is.True((<-r.Decisions).Waited >= storeTakes)
+		s.requestTry(core.AskTry{ID: r.id})
+		time.Sleep(grantDelay)
+		s.deliver(r.id, d)
+		is.True((<-r.Decisions).Waited >= grantDelay)
 	}
-	left := s.Submit(core.Arrive{})
-	s.askTry(core.AskTry{ID: left.id})
-	left.Abandon()
-	is.Equal(len(s.asked), 0)
+	abandoned := s.Submit(core.Arrive{})
+	s.requestTry(core.AskTry{ID: abandoned.id})
+	abandoned.Abandon()
+	is.Equal(len(s.tryRequested), 0)
 }
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -12,23 +12,23 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestSleepAgesWhatTheCoreBelieves suspends the machine: the core's time goes on by as long, and the
-// other services are told once.
-func TestSleepAgesWhatTheCoreBelieves(t *testing.T) {
+// TestSuspensionAdvancesCoreTime suspends the VM: the core's time is advanced by the duration, and observers
+// are notified once.
+func TestSuspensionAdvancesCoreTime(t *testing.T) {
 	is := is.New(t)
 	awake, asleep := time.Duration(0), time.Duration(0)
 	s := New(member.Member{}, zerolog.Nop(), telemetry.NewMetrics())
 	s.clock = clock.New(func() time.Duration { return awake }, func() (time.Duration, error) { return awake + asleep, nil })
-	s.began = s.clock.Now()
-	var told []time.Duration
-	s.Observe(Observer{Slept: func(long time.Duration) { told = append(told, long) }})
+	s.epoch = s.clock.Now()
+	var slept []time.Duration
+	s.Observe(Observer{Slept: func(duration time.Duration) { slept = append(slept, duration) }})
 	awake += time.Second
-	s.noteSleep()
+	s.checkSuspension()
 	is.Equal(s.now(), time.Second)
 	asleep += 7 * time.Second
 	awake += time.Second
-	s.noteSleep()
-	s.noteSleep()
+	s.checkSuspension()
+	s.checkSuspension()
 	is.Equal(s.now(), 9*time.Second)
-	is.Equal(told, []time.Duration{7 * time.Second})
+	is.Equal(slept, []time.Duration{7 * time.Second})
 }
--- a/scheduler/unread.go
+++ b/scheduler/unread.go
@@ -7,37 +7,37 @@
 	"github.com/tamarindstep/tamarindstep/core"
 )
 
-// turnedAwayEvery is how often the core is told of requests that were refused without a
-// decision. A flooded router's core has others to decide on, and other routers hear of it no
-// sooner.
-const turnedAwayEvery = 20 * time.Millisecond
+// unreadInterval is the interval at which requests that were refused unread are reported to the
+// core. Batching them leaves an overloaded router's core time for other decisions, and other
+// routers aren't notified more often.
+const unreadInterval = 20 * time.Millisecond
 
-// turnedAway gathers what the core is to be told of requests that weren't read.
-type turnedAway struct {
+// unreadBatch collects requests that were refused unread.
+type unreadBatch struct {
 	mu       sync.Mutex
 	requests []core.Unread
 }
 
-// add takes a request, and tells whether it is the first of those to be told.
-func (t *turnedAway) add(r core.Unread) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.requests = append(t.requests, r)
-	return len(t.requests) == 1
+// add adds a request, and reports whether it is the first of the batch.
+func (u *unreadBatch) add(r core.Unread) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.requests = append(u.requests, r)
+	return len(u.requests) == 1
 }
 
-// take returns what was gathered.
-func (t *turnedAway) take() []core.Unread {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := t.requests
-	t.requests = nil
+// take returns the requests collected and clears the batch.
+func (u *unreadBatch) take() []core.Unread {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	out := u.requests
+	u.requests = nil
 	return out
 }
 
-// TurnAway tells of a request that was refused without a decision of the core.
+// TurnAway reports a request that was refused without a decision of the core.
 func (s *Service) TurnAway(r core.Unread) {
-	if s.turnedAway.add(r) {
-		time.AfterFunc(turnedAwayEvery, func() { s.Tell(core.TurnedAway{Requests: s.turnedAway.take()}) })
+	if s.unread.add(r) {
+		time.AfterFunc(unreadInterval, func() { s.Tell(core.TurnedAway{Requests: s.unread.take()}) })
 	}
 }
--- a/scheduler/unread_test.go
+++ b/scheduler/unread_test.go
@@ -13,9 +13,9 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestRequestsTurnedAwayAreToldTogether refuses many requests without a decision: the core is
-// told of each, with a few events.
-func TestRequestsTurnedAwayAreToldTogether(t *testing.T) {
+// TestUnreadRequestsAreBatched refuses many requests without a decision: all are reported to the core
+// in a few events.
+func TestUnreadRequestsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := New(member.Member{}, zerolog.Nop(), telemetry.NewMetrics())
@@ -26,13 +26,13 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		time.Sleep(turnedAwayEvery)
+		time.Sleep(unreadInterval)
 		synctest.Wait()
-		events, told := len(s.events), 0
+		events, reported := len(s.events), 0
 		for range events {
-			told += len((<-s.events).event.(core.TurnedAway).Requests)
+			reported += len((<-s.events).event.(core.TurnedAway).Requests)
 		}
-		is.Equal(told, refused)
+		is.Equal(reported, refused)
 		is.True(events <= 3)
 	})
 }
