--- a/model/incarnation.go
+++ b/model/incarnation.go
@@ -2,16 +2,17 @@
 
 import "strconv"
 
-// Incarnation is one run of a backend server: its identifier, which it may keep as it starts again, and when it started.
+// Incarnation is one process of a backend server: its identifier, which may stay the same over a restart, and its start
+// time.
 //
-// Two runs are told apart by Born, and never put in order by it, as clocks jump: the newer one is that of the
+// Two incarnations are distinguished by Born, but not ordered by it, as clocks jump: the newer one is that in the
 // newer catalog.
 type Incarnation struct {
 	Name string
-	Born uint64 // by its own clock, in Unix ms; 0 where it doesn't say, and no two runs have the same name
+	Born uint64 // start time by its own clock, in Unix ms; 0 if not reported, then each process has another name
 }
 
-// Backend returns the identity by which all that is known of the run is kept.
+// Backend returns the identity under which the state of the incarnation is stored.
 func (i Incarnation) Backend() BackendID {
 	if i.Born == 0 {
 		return Backend(i.Name)
@@ -19,7 +20,7 @@
 	return Backend(i.Name + "\x00" + strconv.FormatUint(i.Born, 10))
 }
 
-// Follows tells whether this is another run of the same backend server.
+// Follows reports whether this is another incarnation of the same backend server.
 func (i Incarnation) Follows(before Incarnation) bool {
 	return i.Name == before.Name && i.Born != before.Born
 }
--- a/model/model.go
+++ b/model/model.go
@@ -1,5 +1,5 @@
-// Package model holds the words that the whole program shares: the identities
-// of what is configured, the classes of work, and the unit of service.
+// Package model defines types shared by the whole program: the identities
+// of configured objects, the classes of requests, and the unit of service.
 package model
 
 import (
@@ -28,16 +28,16 @@
 // RequestID identifies a request inside one process.
 type RequestID uint64
 
-// Fingerprint tells a request that comes again from others; package fingerprint makes it.
+// Fingerprint identifies repetitions of a request. Package fingerprint computes it.
 type Fingerprint uint64
 
 // String returns the form that logs and operators use.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// fingerprintDigits is how many hexadecimal digits a fingerprint is written with.
+// fingerprintDigits is the number of hexadecimal digits of a fingerprint.
 const fingerprintDigits = 16
 
-// ParseFingerprint reads the form that logs and operators use.
+// ParseFingerprint parses the form that logs and operators use. The fingerprint 0 is invalid.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	f, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != fingerprintDigits || f == 0 {
@@ -46,10 +46,10 @@
 	return Fingerprint(f), nil
 }
 
-// Class is the urgency of a request inside its account.
+// Class is the urgency of a request within its account.
 type Class uint8
 
-// The classes of work. Interactive work of an account goes before its batch work.
+// The classes. Interactive requests of an account are served before its batch requests.
 const (
 	Interactive Class = iota
 	Batch
@@ -57,7 +57,7 @@
 	Classes
 )
 
-// String returns the word the configuration uses for the class.
+// String returns the name of the class in the configuration.
 func (c Class) String() string {
 	if c == Batch {
 		return "batch"
@@ -82,19 +82,19 @@
 	return float64(s) / ServiceScale
 }
 
-// Key names the service of one account in one pool. Service is kept apart for
-// each pool: two accounts compete only where they ask for the same capacity.
+// Key identifies the service of one account in one pool. Service is counted separately for
+// each pool: two accounts compete only if they request the same capacity.
 type Key struct {
 	Pool    PoolID
 	Account AccountID
 }
 
-// Compare orders keys, so that nothing depends on the order of a map.
+// Compare defines a total order of keys, so that results don't depend on the order of a map.
 func (k Key) Compare(other Key) int {
 	return cmp.Or(cmp.Compare(k.Pool, other.Pool), cmp.Compare(k.Account, other.Account))
 }
 
-// HashName returns the 32-bit hash behind the identities.
+// HashName returns the 32-bit hash of a name that identities consist of.
 func HashName(name string) uint32 {
 	return uint32(xxhash.Sum64String(name))
 }
@@ -109,7 +109,7 @@
 func Backend(name string) BackendID { return BackendID(HashName(name)) }
 
 // Rendezvous returns the weight of a member for a subject under highest
-// random weight hashing; the member with the highest one has the subject.
+// random weight hashing. The member with the highest weight is assigned the subject.
 func Rendezvous(member, subject string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -119,17 +119,17 @@
 	return d.Sum64()
 }
 
-// Part is a part of a prompt that other prompts may begin with as well.
+// Part is a part of a prompt that may be a prefix of other prompts as well.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Prompt is what is known of a request's prompt and of the answer wanted.
+// Prompt describes a request's prompt and the answer requested.
 type Prompt struct {
 	Tokens    int    // of the whole prompt
-	MaxOutput int    // tokens of output at the most, 0 where it isn't known
-	Hint      int    // tokens of output that the caller expects, 0 where it doesn't say
-	Parts     []Part // in order; the last one belongs to the request or its session
+	MaxOutput int    // maximum tokens of output, 0 if unknown
+	Hint      int    // tokens of output that the caller expects, 0 if not given
+	Parts     []Part // in order; the last one is specific to the request or its session
 	Model     string
 }
