--- a/policy/fleetfair/fleetfair.go
+++ b/policy/fleetfair/fleetfair.go
@@ -1,22 +1,22 @@
-// Package fleetfair is the policy that shares each pool fairly over the whole
+// Package fleetfair defines the policy that shares each pool fairly over the whole
 // fleet. Each backend server has an owner, a router that grants its slots to
-// whichever router has the account that is furthest behind.
+// the router with a waiting request of the account with the least service.
 package fleetfair
 
 import "github.com/tamarindstep/tamarindstep/policy"
 
-// lookAhead was chosen by measurement; see docs/DESIGN.md. Counting the
-// whole rest that is expected of each running request lets the service
-// delivered drift apart by as much as the rests differ. Counting none of it
-// gives an account that has fallen behind every free slot until its tokens
-// show, which is too many. A part that is about the same for each running
-// request damps this and adds no difference of its own.
+// lookAhead is in tokens. Charging the whole expected remaining output of running
+// requests lets the service delivered to accounts differ by as much as the
+// remaining outputs do. Charging none of it gives an account that is behind every
+// free slot until its tokens are counted, which is too many. An amount that is about the
+// same for each running request damps this without a difference of its own.
+// See docs/DESIGN.md.
 const lookAhead = 100
 
-// catchUpTokens is some ten of the largest requests.
+// catchUpTokens is about the cost of ten of the largest requests.
 const catchUpTokens = 100_000
 
-// Policy is the documented policy.
+// Policy is the policy fleet-fair.
 var Policy = &policy.Policy{
 	Name: "fleet-fair",
 	Doc: policy.Doc{
--- a/policy/leastloaded/leastloaded.go
+++ b/policy/leastloaded/leastloaded.go
@@ -1,10 +1,10 @@
-// Package leastloaded is the baseline policy that sends each request at once
-// to the backend server with the least load, fair to nobody.
+// Package leastloaded defines the baseline policy that sends each request at once
+// to the backend server with the least load, without fairness between accounts.
 package leastloaded
 
 import "github.com/tamarindstep/tamarindstep/policy"
 
-// Policy is the documented policy.
+// Policy is the policy least-loaded.
 var Policy = &policy.Policy{
 	Name: "least-loaded",
 	Doc: policy.Doc{
--- a/policy/policies/policies.go
+++ b/policy/policies/policies.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindstep/tamarindstep/policy/staticsplit"
 )
 
-// All holds the policies, the default first.
+// All lists the policies, the default first.
 var All = []*policy.Policy{
 	fleetfair.Policy,
 	staticsplit.Policy,
@@ -17,10 +17,10 @@
 	promptaffinity.Policy,
 }
 
-// Default is the policy in force where the configuration names none.
+// Default is the policy used if the configuration names none.
 var Default = All[0]
 
-// Find returns the policy of that name, or nil.
+// Find returns the policy with the given name, or nil.
 func Find(name string) *policy.Policy {
 	for _, p := range All {
 		if p.Name == name {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy defines what a routing policy decides. Each policy has a
-// directory of its own below this one; package policies lists them.
+// Package policy defines the parameters of a routing policy. Each policy has its own
+// package below this one; package policies lists them.
 package policy
 
 import (
@@ -12,7 +12,7 @@
 
 // The orders.
 const (
-	// ByFleetService serves the account with the least service over the fleet.
+	// ByFleetService serves the account with the least service in the fleet.
 	ByFleetService Order = iota
 	// ByRouterService serves the account with the least service at this router.
 	ByRouterService
@@ -20,48 +20,48 @@
 	ByArrival
 )
 
-// Unlimited is the number of slots of a backend server that isn't limited.
+// Unlimited is the number of slots of a backend server without a limit.
 const Unlimited = 1 << 30
 
 // Doc is a policy's documentation.
 type Doc struct {
 	Title string
 	Text  string
-	Since string
+	Since string // version that introduced the policy
 }
 
-// Share is what a policy knows when it sets how many slots of a backend
-// server one router may hand out.
+// Share is the input for computing how many slots of a backend server one
+// router may grant.
 type Share struct {
 	Backend model.BackendID
 	Slots   int // of the backend server
-	Routers int // live routers
-	Rank    int // of this router among them
+	Routers int // number of live routers
+	Rank    int // of this router among them, from 0
 }
 
-// Policy is one way of sharing the pools.
+// Policy defines how the capacity of pools is shared.
 type Policy struct {
 	Name string
 	Doc  Doc
-	// Owned tells whether each backend server's slots are handed out by one
-	// router, its owner, to all. If not, each router hands out its share to
-	// the requests it received itself.
+	// Owned reports whether each backend server's slots are granted by one
+	// router, its owner, to all routers. Otherwise each router grants its share to
+	// the requests that it received itself.
 	Owned bool
 	Order Order
-	// Slots returns how many of a backend server's slots the router hands out.
+	// Slots returns the number of a backend server's slots that the router grants.
 	Slots func(Share) int
-	// FollowLoad tells whether the slots shrink while the engine reports a queue.
+	// FollowLoad reports whether the slots are reduced while the engine reports a queue.
 	FollowLoad bool
-	// LookAhead bounds what a running request counts for beyond what it has
-	// delivered, in tokens; see package fleetfair.
+	// LookAhead limits the expected remaining output that a running request is charged
+	// in advance, in tokens; see package fleetfair.
 	LookAhead float64
-	// SettleAtEnd counts a request as its whole expected cost until it ends.
+	// SettleAtEnd reports whether a request is charged its whole expected cost until it ends.
 	SettleAtEnd bool
-	// CatchUpTokens is the gap between two waiting accounts, in tokens at
-	// weight 1, beyond which a part of the grants goes round all of them, so
+	// CatchUpTokens is the difference in service between two waiting accounts, in tokens at
+	// weight 1, above which a part of the grants goes to the account that has waited longest without one, so
 	// that the one ahead doesn't starve while the other catches up. 0 for none.
 	CatchUpTokens float64
-	// ByPrompt is set where package core/prompt decides, at the router that has
-	// received a request; nothing above but the name matters then.
+	// ByPrompt is set if package core/prompt decides, at the router that has
+	// received a request. The other fields except Name and Doc are unused then.
 	ByPrompt *prompt.Tuning
 }
--- a/policy/promptaffinity/promptaffinity.go
+++ b/policy/promptaffinity/promptaffinity.go
@@ -1,5 +1,5 @@
-// Package promptaffinity is the policy that sends requests where their prompts
-// have been read, and shares what the engines make by max-min over the fleet.
+// Package promptaffinity defines the policy that sends requests to backend servers that
+// have their prompts in cache, with max-min fair shares of the engines' output over the fleet.
 package promptaffinity
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/tamarindstep/tamarindstep/policy"
 )
 
-// Policy is the documented policy.
+// Policy is the policy prompt-affinity.
 var Policy = &policy.Policy{
 	Name: "prompt-affinity",
 	Doc: policy.Doc{
--- a/policy/staticsplit/staticsplit.go
+++ b/policy/staticsplit/staticsplit.go
@@ -1,10 +1,10 @@
-// Package staticsplit is the baseline policy that divides each backend
-// server's slots evenly over the routers, each fair among its own requests.
+// Package staticsplit defines the baseline policy that divides each backend
+// server's slots evenly among the routers, each of which is fair among its own requests.
 package staticsplit
 
 import "github.com/tamarindstep/tamarindstep/policy"
 
-// Policy is the documented policy.
+// Policy is the policy static-split.
 var Policy = &policy.Policy{
 	Name: "static-split",
 	Doc: policy.Doc{
@@ -16,18 +16,18 @@
 	},
 	Order: policy.ByRouterService,
 	Slots: slots,
-	// as for fleet-fair, so that the two differ in nothing else
+	// As for fleet-fair, so that the two don't differ in this.
 	LookAhead: 100,
 }
 
-// slots gives the remainder of the division to routers that differ from
-// backend server to backend server.
+// slots assigns the remainder of the division to routers that depend on the
+// backend server.
 func slots(s policy.Share) int {
-	part := s.Slots / s.Routers
-	rest := s.Slots % s.Routers
-	turn := (s.Rank + int(s.Backend)) % s.Routers
-	if turn < rest {
-		part++
+	share := s.Slots / s.Routers
+	remainder := s.Slots % s.Routers
+	position := (s.Rank + int(s.Backend)) % s.Routers
+	if position < remainder {
+		share++
 	}
-	return part
+	return share
 }
