--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -141,8 +141,8 @@
 }
 
 // AfterStart implements kernel.AfterStarter. The core takes its first step once all observers are registered: it sends
-// the actions of that step, such as the request to watch the store, only once. Otherwise a router started on a busy VM
-// sometimes didn't watch the store, and didn't apply an evacuation for a minute or longer.
+// the actions of that step, such as the request to watch the store, only once. With the step in Start, a router on a
+// busy VM sometimes didn't watch the store, and didn't apply an evacuation for a minute or longer.
 func (s *Service) AfterStart() {
 	s.running = true
 	go s.run(s.ctx)
