--- /dev/null
+++ b/scheduler/unread.go
@@ -0,0 +1,43 @@
+package scheduler
+
+import (
+	"sync"
+	"time"
+
+	"github.com/tamarindstep/tamarindstep/core"
+)
+
+// unreadInterval is the interval at which requests that were refused unread are reported to the
+// core. Batching them leaves an overloaded router's core time for other decisions, and other
+// routers aren't notified more often.
+const unreadInterval = 20 * time.Millisecond
+
+// unreadBatch collects requests that were refused unread.
+type unreadBatch struct {
+	mu       sync.Mutex
+	requests []core.Unread
+}
+
+// add adds a request, and reports whether it is the first of the batch.
+func (u *unreadBatch) add(r core.Unread) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.requests = append(u.requests, r)
+	return len(u.requests) == 1
+}
+
+// take returns the requests collected and clears the batch.
+func (u *unreadBatch) take() []core.Unread {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	out := u.requests
+	u.requests = nil
+	return out
+}
+
+// TurnAway reports a request that was refused without a decision of the core.
+func (s *Service) TurnAway(r core.Unread) {
+	if s.unread.add(r) {
+		time.AfterFunc(unreadInterval, func() { s.Tell(core.TurnedAway{Requests: s.unread.take()}) })
+	}
+}
