--- a/core/byprompt.go
+++ b/core/byprompt.go
@@ -8,15 +8,14 @@
 )
 
 const (
-	// retryBudgetPause is when a caller is asked back whose request can't be sent
-	// a second time.
+	// retryBudgetPause is the Retry-After of a retry that exceeds the retry budget.
 	retryBudgetPause = 300 * time.Millisecond
 )
 
-// byPrompt tells whether the policy in force decides by prompt.
+// byPrompt reports whether the policy in force decides by prompt.
 func (c *Core) byPrompt() bool { return c.config.Policy != nil && c.config.Policy.ByPrompt != nil }
 
-// configurePrompt hands the configuration on to the decisions by prompt.
+// configurePrompt passes the configuration to package prompt.
 func (c *Core) configurePrompt() {
 	c.loads.presence.wanted = c.byPrompt()
 	if !c.byPrompt() {
@@ -53,7 +52,7 @@
 	c.prompt.Configure(c.now, out)
 }
 
-// arriveByPrompt takes a request that is decided on by its prompt.
+// arriveByPrompt processes a request under a policy that decides by prompt.
 func (c *Core) arriveByPrompt(e Arrive) {
 	if !e.Repeat {
 		c.retries.Request(c.now, e.Pool)
@@ -73,8 +72,8 @@
 	c.prompt.Arrive(c.now, in)
 }
 
-// turnedAway counts requests that were refused before they came here: what an account asks
-// for decides what the others are owed, wherever it is refused.
+// turnedAway counts requests that were refused before they reached the core: an account's demand affects the shares of
+// the others wherever its requests are refused.
 func (c *Core) turnedAway(e TurnedAway) {
 	for _, r := range e.Requests {
 		in := prompt.Request{Account: r.Account, Pool: r.Pool, Route: r.Route, Prompt: r.Prompt}
@@ -85,21 +84,21 @@
 	}
 }
 
-// countByPrompt counts what an account has asked for of an engine pool and what has
-// begun of it, in tokens: for the decisions here and at the other routers, which hear of
-// it with the loads, and in the ledger, which shows it to operators.
-func (c *Core) countByPrompt(key model.Key, asked, begun float64) {
+// countByPrompt adds to the tokens that an account has requested of an engine pool, and to those of its dispatched
+// requests. They are used for the decisions here and at the other routers, which receive them with the load reports,
+// and the dispatched ones are added to the ledger for the operators' view.
+func (c *Core) countByPrompt(key model.Key, requested, begun float64) {
 	if !c.config.Pools[key.Pool].FollowLoad {
 		return
 	}
 	c.loads.changed = true
-	c.prompt.Count(key.Account, asked, begun)
+	c.prompt.Count(key.Account, requested, begun)
 	if begun != 0 {
 		c.ledger.Add(c.now, key, model.ServiceOf(begun, 1))
 	}
 }
 
-// decideByPrompt carries out what the decisions by prompt have come to.
+// decideByPrompt runs the decisions of package prompt and emits them as actions.
 func (c *Core) decideByPrompt() {
 	if c.config.Policy == nil || c.config.Policy.ByPrompt == nil && c.prompt.Idle() {
 		return
@@ -132,13 +131,13 @@
 	})
 }
 
-// promptEndings are the endings in the load reports of the decisions by prompt.
+// promptEndings maps each ending to that of package prompt.
 var promptEndings = map[Ending]prompt.Ending{
 	Done: prompt.Done, Broken: prompt.Left, NotSent: prompt.NotSent, Cancelled: prompt.Left,
 	Rejected: prompt.Rejected, Failed: prompt.Failed,
 }
 
-// finishByPrompt ends a request; one that wasn't run isn't counted as begun.
+// finishByPrompt ends a request. The tokens of a request that wasn't executed are subtracted again.
 func (c *Core) finishByPrompt(e Finish) {
 	notRun := e.Ending == NotSent || e.Ending == Rejected || e.Ending == Cancelled
 	if cost := c.prompt.Cost(e.ID); cost > 0 && notRun && c.prompt.Sent(e.ID) {
--- a/core/charge.go
+++ b/core/charge.go
@@ -5,19 +5,19 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// kind is a kind of request, for the estimates.
+// kind identifies the requests that share an output estimate.
 type kind struct {
 	key   model.Key
 	class model.Class
 }
 
-// charge sets the service that a running request stands for: its input, its
-// output so far and what the policy counts of the rest expected.
+// charge sets the service charged for a running request: its input, its output so far and the part of the expected
+// remaining output that the policy counts.
 func (c *Core) charge(r *request, output float64) {
 	c.chargeTokens(r, r.input+output+c.ahead(r, output))
 }
 
-// ahead returns what counts of the rest that is expected of a running request.
+// ahead returns the part of a running request's expected remaining output that the policy counts.
 func (c *Core) ahead(r *request, output float64) float64 {
 	if c.config.Policy.SettleAtEnd {
 		return r.expected - output
@@ -34,8 +34,7 @@
 	r.charged = service
 }
 
-// weightOf returns an account's weight; one that the configuration has just
-// withdrawn counts with weight 1.
+// weightOf returns an account's weight, 1 for an account that has just been removed from the configuration.
 func (c *Core) weightOf(id model.AccountID) float64 {
 	if w := c.config.Accounts[id].Weight; w > 0 {
 		return w
@@ -43,8 +42,7 @@
 	return 1
 }
 
-// lookAheadOf returns what a running request of an account counts for beyond
-// its deliveries, at the most.
+// lookAheadOf returns the greatest service charged for a running request of an account beyond its delivered tokens.
 func (c *Core) lookAheadOf(key model.Key) model.Service {
 	if c.config.Policy == nil {
 		return 0
@@ -58,7 +56,7 @@
 	if l == nil {
 		prior := c.config.Pools[r.key.Pool].ExpectedOutput
 		if prior <= 0 {
-			prior = defaultExpected
+			prior = defaultExpectedOutput
 		}
 		l = estimate.New(prior)
 		c.estimates[k] = l
--- a/core/config.go
+++ b/core/config.go
@@ -13,95 +13,89 @@
 // RequestID identifies a request inside one process.
 type RequestID = model.RequestID
 
-// Account is what the core needs to know of a client account.
+// Account is a client account's configuration.
 type Account struct {
 	Name   string
 	Weight float64
 	Limits Limits
-	// Priority goes before that of a request; 0 is the highest.
+	// Priority takes precedence over that of a request; 0 is the highest.
 	Priority int
 }
 
-// Limits are the limits of a client account; 0 is none.
+// Limits are the limits of a client account; 0 means no limit.
 type Limits struct {
-	Concurrent int     // requests running over the fleet
+	Concurrent int     // requests running in the fleet
 	Queue      int     // requests waiting at one router
 	PerMinute  float64 // requests a minute at one router
 }
 
-// Backend is what the core needs to know of a backend server.
+// Backend is a backend server's configuration.
 type Backend struct {
 	Name     string
 	Born     uint64 // as in model.Incarnation
 	Pool     model.PoolID
 	DataHall string
 	Slots    int
-	Leaving  bool // gets nothing new
-	// Evacuated tells that its data hall is evacuated: it gets nothing new until that is
-	// taken back.
+	Leaving  bool // gets no new requests
+	// Evacuated reports that its data hall is evacuated: it gets no new requests until the evacuation ends.
 	Evacuated bool
-	// Cold tells that it is slow from its start, as far as it has announced.
+	// Cold reports that it has announced a slow start.
 	Cold bool
 }
 
-// Pool is what the core needs to know of a pool.
+// Pool is a pool's configuration.
 type Pool struct {
 	Name string
-	// FollowLoad tells whether its backend servers report their load.
+	// FollowLoad reports whether its backend servers report their load.
 	FollowLoad bool
-	// ExpectedOutput is the output expected of a request before any is known, in tokens.
+	// ExpectedOutput is the expected output of a request in tokens before any has been observed.
 	ExpectedOutput float64
-	// MemoryTokens is what a backend server keeps of prompts and answers, in
-	// tokens; 0 where it keeps nothing.
+	// MemoryTokens is a backend server's capacity for cached prompts and answers, in tokens; 0 for no cache.
 	MemoryTokens int
-	// CopyRate is how many tokens a second one backend server copies of what
-	// another keeps, 0 where they can't.
+	// CopyRate is the rate in tokens a second at which a backend server copies cached parts from another, 0 if it can't.
 	CopyRate float64
-	// ColdRate is how many requests a second a backend server takes while it is cold, 0
-	// for no limit; ColdFor is how long after its start that lasts.
+	// ColdRate is the rate of requests a second that a backend server accepts while it is cold, 0 for no limit; ColdFor
+	// is how long it is cold after its start.
 	ColdRate float64
 	ColdFor  time.Duration
 }
 
-// Config is the configuration as the core needs it. It is never changed once
-// it is in force.
+// Config is the configuration of the core. It is immutable once it is in force.
 type Config struct {
 	Generation uint64
-	// Catalog is the revision of the backend servers that announce themselves.
+	// Catalog is the revision of the catalog of backend servers that announce themselves.
 	Catalog uint64
-	// Halls is the revision of the data halls that are evacuated.
+	// Halls is the revision of the set of evacuated data halls.
 	Halls uint64
-	// Edition is raised by this router where its backend servers change while the
-	// catalog doesn't.
+	// Edition is incremented by this router if its backend servers change while the catalog doesn't.
 	Edition  uint64
 	Policy   *policy.Policy
 	Accounts map[model.AccountID]Account
 	Pools    map[model.PoolID]Pool
 	Backends map[model.BackendID]Backend
-	// TokensPerSecond is what all engines make together, 0 where it is not known.
+	// TokensPerSecond is the total output rate of all engines, 0 if unknown.
 	TokensPerSecond float64
 }
 
-// Versions are the versions of what routers take from each other: of each, a higher one
-// replaces a lower one. 0 stands for nothing held.
+// Versions are the versions of the data that routers fetch from each other. A higher version replaces a lower one; 0
+// means no data.
 type Versions struct {
 	Generation uint64 // of the configuration
-	Catalog    uint64 // revision of the backend servers that announce themselves
-	Halls      uint64 // revision of the evacuated data halls
+	Catalog    uint64 // revision of the catalog of backend servers that announce themselves
+	Halls      uint64 // revision of the set of evacuated data halls
 }
 
-// Exceed tells whether any of the versions is above the other's.
+// Exceed reports whether any of the versions is above that of o.
 func (v Versions) Exceed(o Versions) bool {
 	return v.Generation > o.Generation || v.Catalog > o.Catalog || v.Halls > o.Halls
 }
 
-// Versions returns the versions that the configuration is of.
+// Versions returns the configuration's versions.
 func (c *Config) Versions() Versions {
 	return Versions{Generation: c.Generation, Catalog: c.Catalog, Halls: c.Halls}
 }
 
-// sortedKeys returns a map's keys in order, so that no decision depends on the
-// order of a map.
+// sortedKeys returns a map's keys in order, so that no decision depends on the iteration order of a map.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/core/core.go
+++ b/core/core.go
@@ -1,43 +1,34 @@
-// Package core decides: which request is served next, on which backend server,
-// and when one is refused. It is a deterministic state machine. Time, chance
-// and every message come in as events, and what is to be done comes out as
-// actions; it has no goroutine, no clock and no socket. The daemon drives one
-// core with real time, and tests drive several against one another.
+// Package core decides which request is dispatched next, to which backend server, and when a request is refused. It is
+// a deterministic state machine: time and messages are its input as events, random choices follow a seed, and its
+// output is actions. It has no goroutine, clock or socket. The daemon drives one core with real time; tests drive
+// several that exchange messages.
 //
 // # How capacity is shared
 //
-// Each backend server is accounted for by one router, its owner, which every
-// router derives alike from the live routers (rendezvous hashing, inside the
-// backend server's data hall where a router lives there). A request waits at
-// the router that received it, its ingress router, so that the death of an owner
-// loses nothing. Ingress routers report to the owners, as state, how many
-// requests of each account wait and how many they have running on each backend
-// server. An owner with a free slot grants it to the account that is furthest
-// behind, at the router where that account's oldest request waits; that router
-// then talks to the backend server itself.
+// Each backend server is accounted for by one router, its owner. All routers derive the owner from the live routers by
+// rendezvous hashing, within the backend server's data hall if a live router is there. A request waits at the router
+// that received it, its ingress router, so that no request is lost if an owner dies. Ingress routers report to the
+// owners, as state, how many requests of each account wait and how many run on each backend server. An owner grants a
+// free slot to the account that is furthest behind, at the router where that account's oldest request waits; that
+// router then sends the request to the backend server itself.
 //
-// An account's place in the order is its virtual service: over the fleet, the
-// tokens delivered so far, and of each running request its input and at most the
-// policy's look-ahead of the output still expected, divided by its weight.
-// Package ledger carries it, package estimate expects the rest of a request.
-// Grants that the ledger can't show yet are counted by the owner that made them.
+// Accounts are ordered by virtual service: over the fleet, the tokens delivered so far, and of each running request its
+// input and the output still expected, up to the policy's look-ahead, divided by the account's weight. Package ledger
+// maintains it, package estimate estimates the remaining output of a request. Grants that the ledger doesn't include
+// yet are counted by the owner that made them.
 //
-// # What is state and heals by itself
+// # State and recovery
 //
-// A report holds the number of requests running on each backend server and the
-// highest grant sequence seen. The owner takes as occupied what the reports
-// say, plus the grants above the sequence seen that are younger than
-// grantExpiry. A lost report, a lost grant, a grant that came too late, and an
-// owner that is new or has no memory all come right with the next report, with
-// no message for any of these cases. Two owners of one backend server, as
-// during a cut, each subtract what the engine's own load report shows beyond
-// what they know.
+// A report holds the number of requests running on each backend server and the highest grant sequence received. The
+// owner counts as occupied the slots in the reports, plus the grants above that sequence that are younger than
+// grantExpiry. A lost report, a lost grant, a late grant, and an owner that is new or has lost its state are all
+// corrected by the next report, without a message of their own. If a backend server has two owners, as during a network
+// partition, each subtracts the requests in the engine's load report that it can't account for.
 //
 // # Limits
 //
-// The order rests on a ledger that is up to a second old, and on reports that
-// are paced by a budget of bytes. An account can get ahead meanwhile by what
-// all owners can grant in that time; see docs/DESIGN.md for the bound.
+// The order depends on a ledger that is up to a second old, and on reports that are paced by a byte budget. In that
+// time an account can get ahead by as much as all owners can grant; see docs/DESIGN.md for the bound.
 package core
 
 import (
@@ -55,7 +46,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// Core is one router's decisions.
+// Core makes the decisions of one router.
 type Core struct {
 	now      model.Time
 	config   *Config
@@ -69,7 +60,7 @@
 	actions  []Action
 	outbox   map[string]*wire.Datagram
 
-	// Where decisions are made by prompt.
+	// For policies that decide by prompt.
 	promptKeys map[RequestID]model.Key
 	loads      loadExchange
 	overdue    overdue
@@ -82,7 +73,7 @@
 	waiting   []model.Key // of the queues in which a request waits, in order
 	deadlines deadlines
 	running   map[model.BackendID]int
-	refused   map[model.BackendID]*refusal
+	refused   map[model.BackendID]*exclusion
 	owners    map[string]*ownerLink
 	asks      map[model.PoolID]*ask
 	estimates map[kind]*estimate.Lengths
@@ -101,12 +92,11 @@
 	notices    *notice.Book
 
 	placement placement
-	watched   []model.BackendID // as in the last Watch
+	watched   []model.BackendID // of the last Watch action
 	watch     watch
 }
 
-// New returns the core of a router that has just started. The seed drives all
-// of its random choices.
+// New returns the core of a router that has just started. The seed determines all of its random choices.
 func New(now model.Time, self member.Member, seed uint64) *Core {
 	random := rand.New(rand.NewPCG(seed, self.Boot))
 	c := &Core{
@@ -123,7 +113,7 @@
 		requests:   map[RequestID]*request{},
 		queues:     map[model.Key]*queue{},
 		running:    map[model.BackendID]int{},
-		refused:    map[model.BackendID]*refusal{},
+		refused:    map[model.BackendID]*exclusion{},
 		owners:     map[string]*ownerLink{},
 		asks:       map[model.PoolID]*ask{},
 		estimates:  map[kind]*estimate.Lengths{},
@@ -145,32 +135,31 @@
 	return c
 }
 
-// LimitRetries sets the fleet's retry budget, which is unlimited until then.
+// LimitRetries sets the fleet's retry budget. The default is unlimited.
 func (c *Core) LimitRetries(limits retry.Limits) { c.retries = retry.New(limits) }
 
-// LimitCold sets how far above its rate a backend server may be sent to that is slow from
-// its start; without, its rate is the limit.
+// LimitCold sets how far the rate of requests to a cold backend server may exceed its configured rate. By default it
+// may not.
 func (c *Core) LimitCold(limits cold.Limits) { c.coldLimits = limits }
 
-// HomesInHalls lets prompts that share parts have a home in each data hall, and not one in the
-// fleet; it must be said before a configuration is in force.
+// HomesInHalls assigns prompts with common parts a home in each data hall instead of one in the fleet. It must be
+// called before a configuration is in force.
 func (c *Core) HomesInHalls() { c.hallHomes = true }
 
-// LimitLoads sets how many bytes a second this router tells each of those that it tells: of
-// what it has on the backend servers, and of what it passes on as a relay.
+// LimitLoads sets how many bytes a second of load reports this router sends to each receiver: both its own reports and
+// those that it forwards as a relay.
 func (c *Core) LimitLoads(bytesPerSecond float64) {
 	c.loads = newLoadExchange(bytesPerSecond)
 	c.loads.presence.wanted = c.byPrompt()
 }
 
-// Step takes one event at a time that never goes back, and returns what is to
-// be done for it, in order.
+// Step processes one event at a time that doesn't decrease, and returns the resulting actions in order.
 func (c *Core) Step(now model.Time, e Event) []Action {
 	c.now = max(c.now, now)
 	c.actions = nil
 	c.handle(e)
 	c.refreshPlacement()
-	c.followWatch()
+	c.updateWatch()
 	c.expire()
 	c.probe()
 	c.grantAll()
@@ -185,7 +174,7 @@
 	return c.actions
 }
 
-// Late tells that this router comes late to what is due, so that it can't tell others' silence from its own.
+// Late records that this router runs behind schedule, so that missing messages may be due to its own delay.
 func (c *Core) Late(now model.Time) { c.members.Late(max(c.now, now)) }
 
 func (c *Core) handle(e Event) {
@@ -218,11 +207,11 @@
 		c.placement.stale = c.placement.stale || !c.listed
 		c.listed = true
 	case Load:
-		c.load(e)
+		c.applyLoad(e)
 	case Leaving:
-		c.leaving(e.Backends)
+		c.setLeaving(e.Backends)
 	case Noticed:
-		c.noticed(e)
+		c.applyNotice(e)
 	case ServerEnded:
 		c.serverEnded(e)
 	case Answered:
@@ -236,7 +225,7 @@
 	}
 }
 
-// arrived takes a request that isn't held back.
+// arrived processes a request that isn't held back.
 func (c *Core) arrived(e Arrive) {
 	if c.byPrompt() {
 		c.arriveByPrompt(e)
@@ -251,7 +240,7 @@
 	return max(wake, c.now+minWake)
 }
 
-// minWake is the shortest time between two ticks.
+// minWake is the shortest interval between two ticks.
 const minWake = time.Millisecond
 
 func (c *Core) do(a Action) {
@@ -263,17 +252,17 @@
 	c.members.Leave()
 }
 
-// Idle tells whether no request waits or runs at this router.
+// Idle reports whether no request waits or runs at this router.
 func (c *Core) Idle() bool { return len(c.requests)+len(c.suspicions.asking) == 0 && c.prompt.Idle() }
 
 func (c *Core) probe() {
 	for _, s := range c.members.Tick(c.now) {
 		c.sendProbe(s)
 	}
-	c.noteMemberChanges()
+	c.handleMemberChanges()
 }
 
-func (c *Core) noteMemberChanges() {
+func (c *Core) handleMemberChanges() {
 	for _, change := range c.members.Changes() {
 		c.memberChanged(change)
 	}
@@ -288,7 +277,7 @@
 func (c *Core) memberChanged(change member.Change) {
 	c.loads.planned = false
 	if change.Restarted || change.Status == wire.Status_STATUS_DEAD {
-		c.forgetSource(change.Name)
+		c.removeSource(change.Name)
 		c.forgetLoads(change)
 		delete(c.overdue.alive, change.Name)
 		delete(c.owners, change.Name)
@@ -312,8 +301,8 @@
 	}
 }
 
-// configure puts a configuration in force; a lower generation, an older catalog of backend
-// servers or older evacuations never replace newer ones.
+// configure puts a configuration in force. A lower generation, an older catalog of backend servers or older evacuations
+// never replace newer ones.
 func (c *Core) configure(config *Config) {
 	older := c.config.Versions().Exceed(config.Versions())
 	same := config.Versions() == c.config.Versions() && config.Edition == c.config.Edition
@@ -327,22 +316,22 @@
 	c.announce()
 }
 
-// announceTo is how many routers are told at once of a new configuration; with
-// each of them telling as many, the fleet knows within a few exchanges.
-const announceTo = 4
+// announceFanOut is the number of routers that are notified immediately of a new configuration. As each of them
+// notifies as many, it reaches the whole fleet within a few exchanges.
+const announceFanOut = 4
 
-// announce tells some routers, chosen by chance, that a configuration is in
-// force here: every datagram carries its generation.
+// announce sends a datagram to randomly chosen routers, which notifies them of the configuration in force here: every
+// datagram carries its generation.
 func (c *Core) announce() {
 	names := c.members.Names()
-	told := 0
+	notified := 0
 	for _, i := range c.random.Perm(len(names)) {
-		if told == announceTo {
+		if notified == announceFanOut {
 			return
 		}
 		if c.members.Get(names[i]).Reachable() {
 			c.to(names[i])
-			told++
+			notified++
 		}
 	}
 }
--- a/core/datagram.go
+++ b/core/datagram.go
@@ -5,8 +5,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// receive takes a datagram's parts in an order in which the later ones can
-// rely on the earlier ones.
+// receive processes a datagram's parts in an order in which later ones can depend on earlier ones.
 func (c *Core) receive(d *wire.Datagram) {
 	if d.To != c.members.Self().Name || d.From == d.To {
 		return
@@ -16,12 +15,12 @@
 		c.members.Located(d.From, r)
 		c.members.Learn(c.now, r)
 	}
-	c.noteMemberChanges()
+	c.handleMemberChanges()
 	if c.members.Get(d.From) == nil {
 		return
 	}
 	c.askDead(d.From)
-	c.hearStoreAge(d.StoreAgeMs)
+	c.applyStoreAge(d.StoreAgeMs)
 	c.takeSuspicions(d.Suspicions)
 	c.compareSuspicions(d)
 	if d.Probe != nil {
@@ -36,7 +35,7 @@
 		c.takeLoads(d)
 	}
 	if d.Report != nil {
-		c.takeReport(d.From, d.Report)
+		c.applyReport(d.From, d.Report)
 	}
 	c.takeGrants(d.From, d.Boot, d.Grants)
 	if d.Up != nil {
@@ -46,7 +45,7 @@
 	}
 	if d.Down != nil {
 		c.ledger.ReceiveDown(c.now, d.From, d.Down)
-		c.dirtyAll()
+		c.markAllDirty()
 	}
 	theirs := Versions{Generation: d.Generation, Catalog: d.Catalog, Halls: d.Halls}
 	if theirs.Exceed(c.config.Versions()) {
@@ -56,14 +55,15 @@
 	}
 }
 
-// askDead lets a router contradict its death that has just been heard.
+// askDead probes a router that is considered dead and from which a datagram has just been received, so that it can
+// refute its death.
 func (c *Core) askDead(name string) {
 	for _, s := range c.members.AskDead(c.now, name) {
 		c.sendProbe(s)
 	}
 }
 
-// to returns the datagram being put together for a router in this step.
+// to returns the datagram that is assembled for a router in this step.
 func (c *Core) to(name string) *wire.Datagram {
 	d := c.outbox[name]
 	if d == nil {
--- a/core/deadlines.go
+++ b/core/deadlines.go
@@ -4,7 +4,7 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// deadlines is a heap of waiting requests by deadline.
+// deadlines is a heap of waiting requests ordered by deadline.
 type deadlines []*request
 
 func (d deadlines) Len() int { return len(d) }
@@ -18,13 +18,13 @@
 
 func (d deadlines) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].heapAt, d[j].heapAt = i, j
+	d[i].heapIndex, d[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (d *deadlines) Push(x any) {
 	r := x.(*request)
-	r.heapAt = len(*d)
+	r.heapIndex = len(*d)
 	*d = append(*d, r)
 }
 
@@ -32,12 +32,12 @@
 func (d *deadlines) Pop() any {
 	old := *d
 	r := old[len(old)-1]
-	r.heapAt = -1
+	r.heapIndex = -1
 	*d = old[:len(old)-1]
 	return r
 }
 
-// never is a time that doesn't come.
+// never is a time that is never reached.
 const never = model.Time(1<<63 - 1)
 
 func (c *Core) nextDeadline() model.Time {
--- a/core/event.go
+++ b/core/event.go
@@ -10,45 +10,42 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// Event is an input of the core. Each event type below is one.
+// Event is an input of the core; the types below implement it.
 type Event interface{ event() }
 
-// Tick lets time pass; it is due when Core.Wake says.
+// Tick advances the time; it is due at the time that Core.Wake returns.
 type Tick struct{}
 
 // Configure puts a configuration in force.
 type Configure struct{ Config *Config }
 
-// Arrive is a request that a caller has sent to this router.
+// Arrive is a request that this router has received from a caller.
 type Arrive struct {
 	ID      RequestID
 	Account model.AccountID
 	Pool    model.PoolID
 	Class   model.Class
 	Input   float64       // tokens of input
-	Wait    time.Duration // how long it may wait to be served
+	Wait    time.Duration // how long it may wait to be dispatched
 
-	// What only a policy that decides by prompt asks for.
+	// The fields below are used only by policies that decide by prompt.
 	Route     uint32 // hash of the route's name
 	Prompt    model.Prompt
-	Objective time.Duration // until the answer should begin, 0 for none
+	Objective time.Duration // for the time until the answer begins, 0 for none
 	Priority  int           // of the route; 0 is the highest
 	Except    []model.BackendID
-	// Repeat tells that the request was sent to a backend server before, so that
-	// it draws on the retry budget.
+	// Repeat reports that the request was sent to a backend server before and counts against the retry budget.
 	Repeat bool
-	// Lag is how late this process comes to what is due at present.
+	// Lag is how far this process is currently behind schedule.
 	Lag time.Duration
-	// Fingerprint tells the request from others where it may be held back, 0 where nothing is
-	// held against its account.
+	// Fingerprint identifies a request that may be held back, 0 if no request of its account is under suspicion.
 	Fingerprint model.Fingerprint
 }
 
-// TurnedAway are requests that were refused before the core was asked: they count as asked
-// for.
+// TurnedAway lists requests that were refused before they reached the core; they count towards their accounts' demand.
 type TurnedAway struct{ Requests []Unread }
 
-// Unread is what the header tells of a request that wasn't read.
+// Unread is the header information of a request whose body wasn't read.
 type Unread struct {
 	Account model.AccountID
 	Pool    model.PoolID
@@ -56,31 +53,31 @@
 	Prompt  model.Prompt
 }
 
-// Began tells that the answer to a dispatched request has begun.
+// Began reports that the answer to a dispatched request has begun.
 type Began struct{ ID RequestID }
 
-// Progress tells how many output tokens of a running request have flowed so far.
+// Progress reports the number of output tokens of a running request so far.
 type Progress struct {
 	ID     RequestID
 	Output float64
 }
 
-// Ending tells how a request that was dispatched has ended.
+// Ending is how a dispatched request has ended.
 type Ending uint8
 
 // The endings of a request.
 const (
-	// Done is a whole answer.
+	// Done is a complete answer.
 	Done Ending = iota
-	// Broken is an answer that broke off, or a caller that left.
+	// Broken is an incomplete answer, or a caller that disconnected.
 	Broken
 	// NotSent is a request of which no byte was written to the backend server.
 	NotSent
-	// Cancelled is a request of which nothing was sent and nothing will be.
+	// Cancelled is a request that was given up before anything was sent.
 	Cancelled
-	// Rejected is a request that its backend server said it didn't run.
+	// Rejected is a request that its backend server reported as not executed.
 	Rejected
-	// Failed is a request whose backend server failed, or broke off.
+	// Failed is a request whose backend server failed or broke the connection.
 	Failed
 )
 
@@ -91,34 +88,34 @@
 	Ending Ending
 }
 
-// ServerEnded tells that a backend server has ended while a request ran there.
+// ServerEnded reports that a backend server has terminated while a request ran there.
 type ServerEnded struct {
 	Fingerprint model.Fingerprint
 	Account     model.AccountID
 	Backend     model.BackendID
 	Ran         time.Duration // since the request was sent
-	Begun       bool          // part of its answer had come
+	Begun       bool          // part of its answer had been received
 }
 
-// Answered tells that a request has got a whole answer of a backend server.
+// Answered reports that a request has received a complete answer from a backend server.
 type Answered struct{ Fingerprint model.Fingerprint }
 
-// HeldInStore is the requests that are held back, as the store keeps them.
+// HeldInStore lists the held-back requests that the store contains.
 type HeldInStore struct{ Suspicions []*wire.Suspicion }
 
-// TryAnswered answers an AskTry.
+// TryAnswered is the answer to an AskTry.
 type TryAnswered struct {
 	ID      RequestID
 	Granted bool
 }
 
-// Abandon takes back a request that still waits, as its caller has left.
+// Abandon withdraws a waiting request whose caller has disconnected.
 type Abandon struct{ ID RequestID }
 
-// Receive is an authentic datagram from another router.
+// Receive is an authenticated datagram from another router.
 type Receive struct{ Datagram *wire.Datagram }
 
-// Routers is the VM list's routers.
+// Routers lists the routers in the VM list.
 type Routers struct{ Listed []member.Listed }
 
 // Load is a backend server's report of its own load.
@@ -127,22 +124,22 @@
 	Running int
 	Waiting int
 	Leaving bool
-	Failed  bool // no report could be had
+	Failed  bool // no report could be obtained
 }
 
-// Leaving lists the backend servers that the VM list shows as leaving or gone.
+// Leaving lists the backend servers that are leaving or removed according to the VM list.
 type Leaving struct{ Backends []model.BackendID }
 
-// Noticed is what a backend server has said of itself to this router.
+// Noticed is a notice about a backend server's state that it has sent to this router.
 type Noticed struct {
 	Backend model.BackendID
 	Notice  notice.Notice
 }
 
-// StoreContacted tells whether the store has answered a ContactStore.
+// StoreContacted reports whether the store has answered a ContactStore.
 type StoreContacted struct{ Reached bool }
 
-// Drain makes the router take no new work and hand over what it owns.
+// Drain makes the router accept no new requests and hand over the backend servers that it owns.
 type Drain struct{}
 
 func (Tick) event()           {}
@@ -165,7 +162,7 @@
 func (HeldInStore) event()    {}
 func (TryAnswered) event()    {}
 
-// Action is an output of the core. Each action type below is one.
+// Action is an output of the core; the types below implement it.
 type Action interface{ action() }
 
 // Dispatch sends a request to a backend server.
@@ -174,14 +171,14 @@
 	Backend model.BackendID
 	Waited  time.Duration
 
-	Basis prompt.Basis // what decided, where the policy decides by prompt
-	// CopyFrom is the backend server from which the parts of the prompt that it
-	// keeps are to be copied, 0 for none, and Copied how many tokens that is.
+	Basis prompt.Basis // of the decision, if the policy decides by prompt
+	// CopyFrom is the backend server from which the parts of the prompt in its cache are to be copied, 0 for none.
+	// Copied is their number of tokens.
 	CopyFrom model.BackendID
 	Copied   int
 }
 
-// Refusal is why a request is refused.
+// Refusal is the reason for which a request is refused.
 type Refusal string
 
 // The reasons for which the core refuses a request.
@@ -193,7 +190,7 @@
 	Unreachable Refusal = "backends-unreachable"
 	Withdrawn   Refusal = "account-withdrawn"
 	RetryBudget Refusal = "retry-budget"
-	// HeldBack is for a request under which backend servers end.
+	// HeldBack is for a request during which backend servers have terminated.
 	HeldBack Refusal = "held-back"
 )
 
@@ -203,8 +200,8 @@
 	Reason     Refusal
 	RetryAfter time.Duration
 	Waited     time.Duration
-	Basis      prompt.Basis // what decided, where the policy decides by prompt
-	// Holds is how long the reason is expected to hold for others of the account and route.
+	Basis      prompt.Basis // of the decision, if the policy decides by prompt
+	// Holds is how long the reason is expected to apply to other requests of the account and route.
 	Holds time.Duration
 }
 
@@ -216,21 +213,21 @@
 	Datagram *wire.Datagram
 }
 
-// Watch sets the backend servers whose load this router is to ask for.
+// Watch sets the backend servers whose load this router is to query.
 type Watch struct{ Backends []model.BackendID }
 
-// MemberChanged tells of a change of another router's status.
+// MemberChanged reports a change of another router's status.
 type MemberChanged struct{ Change member.Change }
 
-// RelayChanged tells that this router tells another relay of its loads than before; ""
-// stands for being one itself.
+// RelayChanged reports that this router sends its load reports to another relay than before; "" means that it is a
+// relay itself.
 type RelayChanged struct {
 	From, To    string
-	Unconfirmed int // messages that weren't passed on, as far as known
+	Unconfirmed int // messages without a confirmation that they were forwarded
 }
 
-// GenerationSeen tells that another router has a newer configuration in force, a newer
-// catalog of backend servers, or newer evacuations.
+// GenerationSeen reports that another router has a newer configuration in force, a newer catalog of backend servers, or
+// newer evacuations.
 type GenerationSeen struct {
 	From     string
 	Address  string
@@ -238,41 +235,41 @@
 	Versions Versions
 }
 
-// WatchStore tells whether this router is one of the few that watch the store for what the
-// operators write and for backend servers.
+// WatchStore reports whether this router is one of the few that watch the store for the operators' changes and for
+// backend servers.
 type WatchStore struct {
 	Watch  bool
-	Chosen bool // by the membership; else it stands in for watchers that don't reach the store
-	// Unreached is how long ago a router that watches has reached the store, as far as known.
+	Chosen bool // by the membership; otherwise it replaces watchers that can't reach the store
+	// Unreached is the time since a watcher last reached the store, according to the information received here.
 	Unreached time.Duration
 }
 
-// StoreReturned tells that the store answers again, which hadn't when it was asked before. A call
-// that was made in between may never be answered, however long it is waited for.
+// StoreReturned reports that the store answers again after a failed contact. A call made in between may never be
+// answered, whatever its timeout.
 type StoreReturned struct{ Silent time.Duration }
 
-// ContactStore asks for a small answer of the store; StoreContacted tells whether it came.
+// ContactStore requests a small read of the store; StoreContacted reports whether it was answered.
 type ContactStore struct{}
 
-// Suspected lists the accounts of requests under which backend servers have ended: only theirs
-// need be known by fingerprint.
+// Suspected lists the accounts of requests during which backend servers have terminated. Only their requests need a
+// fingerprint.
 type Suspected struct{ Accounts []model.AccountID }
 
-// HeldChanged tells that a request is held back, or isn't any more, or that a try of it has failed.
+// HeldChanged reports that a request is held back, is no longer held back, or that a try of it has failed.
 type HeldChanged struct {
 	Held      bool
-	Failed    bool // it was held back before, and a try has failed since
-	Seen      bool // this router has seen what led to it, and sees to it that the store keeps it
+	Failed    bool // it was held back already, and a try has failed since
+	Seen      bool // this router has observed the cause itself, and is to write the suspicion to the store
 	Suspicion *wire.Suspicion
 }
 
-// AskTry asks whether a request that is held back may be sent once more, as no other router does.
+// AskTry asks whether a held-back request may be sent once more, which only one router may do at a time.
 type AskTry struct {
 	ID          RequestID
 	Fingerprint model.Fingerprint
 }
 
-// Tried tells that a request which is held back is sent once more.
+// Tried reports that a held-back request is sent once more.
 type Tried struct {
 	Fingerprint model.Fingerprint
 	Account     model.AccountID
--- a/core/grant.go
+++ b/core/grant.go
@@ -9,31 +9,29 @@
 )
 
 const (
-	// grantExpiry is how long a grant counts as a taken slot without a report
-	// that has seen it.
+	// grantExpiry is how long a grant occupies a slot without a report that acknowledges it.
 	grantExpiry = 500 * time.Millisecond
-	// grantRepeat is how long a grant that no report has seen waits to be sent
-	// again.
-	grantRepeat = 150 * time.Millisecond
+	// grantResend is the interval at which a grant that no report has acknowledged is sent again.
+	grantResend = 150 * time.Millisecond
 )
 
-// pendingGrant is a grant that no report has shown yet.
+// pendingGrant is a grant that no report has acknowledged yet.
 type pendingGrant struct {
 	sequence uint64
 	backend  model.BackendID
 	key      model.Key
 	class    model.Class
 	at       model.Time
-	sent     model.Time // last
+	sent     model.Time // last time
 }
 
-// recentGrant is the service expected of a grant made to another router.
+// recentGrant is the expected service of a grant to another router.
 type recentGrant struct {
 	at      model.Time
 	service model.Service
 }
 
-// expirePending frees the slots of grants that no report has shown in time.
+// expirePending resends unacknowledged grants and frees the slots of those older than grantExpiry.
 func (c *Core) expirePending() {
 	var granted []string
 	for name, s := range c.sources {
@@ -44,21 +42,21 @@
 	slices.Sort(granted)
 	for _, name := range granted {
 		s := c.sources[name]
-		c.repeatGrants(name, s)
+		c.resendGrants(name, s)
 		if c.now < s.pending[0].at+grantExpiry {
 			continue
 		}
-		c.uncountSource(name, s)
+		c.subtractSource(name, s)
 		s.pending = slices.DeleteFunc(s.pending, func(g pendingGrant) bool { return c.now >= g.at+grantExpiry })
-		c.countSource(name, s)
-		c.dirtyAll()
+		c.addSource(name, s)
+		c.markAllDirty()
 	}
 }
 
-// grantAll hands out free slots while anything waits for them.
+// grantAll grants the free slots of each dirty pool while requests wait for them.
 func (c *Core) grantAll() {
 	c.expirePending()
-	c.readyBackends()
+	c.markReady()
 	if len(c.dirty) == 0 || c.config.Policy == nil {
 		return
 	}
@@ -70,13 +68,13 @@
 	}
 }
 
-// grantOne grants one slot of a pool, and tells whether it could.
+// grantOne grants one slot of a pool and reports whether it did.
 func (c *Core) grantOne(pool model.PoolID) bool {
-	if b := c.freest(pool, 0); b != nil {
+	if b := c.mostFree(pool, 0); b != nil {
 		key, ok := c.pick(pool)
 		return ok && c.grant(b, key)
 	}
-	b := c.freest(pool, interactiveShare)
+	b := c.mostFree(pool, interactiveShare)
 	if b == nil {
 		return false
 	}
@@ -84,8 +82,8 @@
 	return ok && c.grant(b, key)
 }
 
-// grant gives a slot to an account at the router where its oldest request of
-// the most urgent class waits, and tells whether it could.
+// grant grants a slot to an account at the router where its oldest request of the most urgent class waits, and reports
+// whether it did.
 func (c *Core) grant(b *backend, key model.Key) bool {
 	d := c.demands[key]
 	class := model.Interactive
@@ -104,13 +102,13 @@
 	} else {
 		c.grantTo(o, b, key, class)
 	}
-	c.notePeak(b, c.occupied(b))
+	c.recordPeak(b, c.occupied(b))
 	return done
 }
 
-func (d *demand) longestWaiting(class model.Class) *offer {
-	var best *offer
-	for _, o := range d.offers {
+func (d *demand) longestWaiting(class model.Class) *routerDemand {
+	var best *routerDemand
+	for _, o := range d.byRouter {
 		if o.count[class] > 0 && (best == nil || o.oldest < best.oldest) {
 			best = o
 		}
@@ -118,7 +116,7 @@
 	return best
 }
 
-func (c *Core) grantTo(o *offer, b *backend, key model.Key, class model.Class) {
+func (c *Core) grantTo(o *routerDemand, b *backend, key model.Key, class model.Class) {
 	s := c.sources[o.router]
 	s.pending = append(s.pending, pendingGrant{
 		sequence: c.grants, backend: b.id, key: key, class: class, at: c.now, sent: c.now,
@@ -138,19 +136,18 @@
 	})
 }
 
-// repeatGrants sends the grants again that may have been lost. One that came
-// after all is known to its receiver by its sequence.
-func (c *Core) repeatGrants(to string, s *source) {
+// resendGrants sends grants again that may have been lost. The receiver recognizes a duplicate by its sequence.
+func (c *Core) resendGrants(to string, s *source) {
 	for i := range s.pending {
 		g := &s.pending[i]
-		if c.now >= g.sent+grantRepeat {
+		if c.now >= g.sent+grantResend {
 			g.sent = c.now
 			c.sendGrant(to, *g)
 		}
 	}
 }
 
-// expectedService is the service expected of a request that waits elsewhere.
+// expectedService returns the expected service of a request that waits at another router.
 func (c *Core) expectedService(key model.Key, class model.Class) model.Service {
 	r := request{key: key, class: class}
 	r.expected = c.lengths(&r).Rest(0)
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// maxAttempts is how often a request of which nothing was sent is tried.
+	// maxAttempts is the number of dispatches of a request of which no byte was sent.
 	maxAttempts = 4
-	// refusalPause is how long a backend server that couldn't be reached is
-	// left out at first; it doubles up to maxRefusalPause.
-	refusalPause    = 250 * time.Millisecond
-	maxRefusalPause = 8 * time.Second
-	// defaultExpected is the output expected where nothing is known, in tokens.
-	defaultExpected = 256
-	// minRetryAfter and maxRetryAfter bound when a refused caller is asked back.
+	// exclusionPause is how long a backend server that couldn't be reached is excluded at first; it doubles with
+	// each further failure up to maxExclusionPause.
+	exclusionPause    = 250 * time.Millisecond
+	maxExclusionPause = 8 * time.Second
+	// defaultExpectedOutput is the expected output in tokens of a pool that configures none.
+	defaultExpectedOutput = 256
+	// minRetryAfter and maxRetryAfter bound the Retry-After given to refused callers.
 	minRetryAfter = time.Second
 	maxRetryAfter = 5 * time.Minute
 )
 
-// request is one request at its ingress router.
+// request is a request at its ingress router.
 type request struct {
-	id       RequestID
-	key      model.Key
-	class    model.Class
-	input    float64
-	arrived  model.Time
-	deadline model.Time // for being dispatched
-	heapAt   int        // place in the deadlines, -1 once dispatched
-	attempts int
-	backend  model.BackendID
-	running  bool
-	charged  model.Service
-	expected float64 // output, in tokens, as expected when it was dispatched
+	id        RequestID
+	key       model.Key
+	class     model.Class
+	input     float64
+	arrived   model.Time
+	deadline  model.Time // of the dispatch
+	heapIndex int        // index in the deadlines, -1 once dispatched
+	attempts  int
+	backend   model.BackendID
+	running   bool
+	charged   model.Service
+	expected  float64 // output in tokens, estimated at the dispatch
 }
 
 // queue holds the waiting requests of one account in one pool.
 type queue struct {
-	waiting [model.Classes][]*request
-	running int
-	gap     time.Duration // smoothed time between two dispatches
-	last    model.Time    // of the last dispatch
-	tokens  float64       // of the rate limit
-	filled  model.Time    // when the rate limit's bucket was last filled
+	waiting  [model.Classes][]*request
+	running  int
+	interval time.Duration // smoothed interval between dispatches
+	last     model.Time    // of the last dispatch
+	tokens   float64       // in the rate limit's bucket
+	filled   model.Time    // when the rate limit's bucket was last refilled
 }
 
 func (q *queue) length() int {
 	return len(q.waiting[model.Interactive]) + len(q.waiting[model.Batch])
 }
 
-// oldest returns the arrival of the request that has waited longest.
+// oldest returns the arrival time of the request that has waited longest, now if none waits.
 func (q *queue) oldest(now model.Time) model.Time {
 	oldest := now
 	for _, waiting := range q.waiting {
@@ -64,11 +64,11 @@
 	return oldest
 }
 
-// refusal is how this router holds a backend server that it can't use.
-type refusal struct {
+// exclusion records why and for how long this router sends nothing to a backend server.
+type exclusion struct {
 	until   model.Time
 	pause   time.Duration
-	leaving bool // by the VM list
+	leaving bool // according to the VM list
 }
 
 func (c *Core) arrive(e Arrive) {
@@ -97,7 +97,7 @@
 	return q
 }
 
-// admission returns why a request may not even wait, or "".
+// admission returns the reason for which a request may not be queued, or "".
 func (c *Core) admission(key model.Key, q *queue) Refusal {
 	limits := c.config.Accounts[key.Account].Limits
 	if c.draining {
@@ -112,7 +112,7 @@
 	return ""
 }
 
-// takeToken takes one request from the bucket of the rate limit.
+// takeToken takes one token from the rate limit's bucket and reports whether there was one.
 func (q *queue) takeToken(now model.Time, perMinute float64) bool {
 	q.tokens = min(q.tokens+(now-q.filled).Minutes()*perMinute, perMinute)
 	q.filled = now
@@ -123,18 +123,18 @@
 	return true
 }
 
-// retryAfter expects how long the account's queue takes to drain.
+// retryAfter estimates how long the account's queue takes to drain.
 func (c *Core) retryAfter(q *queue) time.Duration {
-	expected := q.gap * time.Duration(q.length()+1)
+	expected := q.interval * time.Duration(q.length()+1)
 	return min(max(expected, minRetryAfter), maxRetryAfter)
 }
 
-// removeWaiting takes a waiting request out of its queue.
+// removeWaiting removes a waiting request from its queue.
 func (c *Core) removeWaiting(r *request) {
 	q := c.queues[r.key]
 	q.waiting[r.class] = slices.DeleteFunc(q.waiting[r.class], func(o *request) bool { return o == r })
-	if r.heapAt >= 0 {
-		heap.Remove(&c.deadlines, r.heapAt)
+	if r.heapIndex >= 0 {
+		heap.Remove(&c.deadlines, r.heapIndex)
 	}
 	c.demandShrank(r.key, q)
 }
@@ -153,7 +153,7 @@
 	delete(c.requests, id)
 }
 
-// refuse gives a request its final answer.
+// refuse refuses a request for good.
 func (c *Core) refuse(r *request, reason Refusal) {
 	if !r.running {
 		c.removeWaiting(r)
@@ -162,15 +162,14 @@
 	c.do(Refuse{ID: r.id, Reason: reason, RetryAfter: c.retryAfter(c.queues[r.key])})
 }
 
-// expire refuses the requests that have waited as long as they may.
+// expire refuses the requests whose deadline has passed.
 func (c *Core) expire() {
 	for len(c.deadlines) > 0 && c.deadlines[0].deadline <= c.now {
 		c.refuse(c.deadlines[0], WaitedLong)
 	}
 }
 
-// refuseWithdrawn refuses what waits for an account or a pool that the
-// configuration no longer has.
+// refuseWithdrawn refuses the waiting requests whose account or pool is no longer configured.
 func (c *Core) refuseWithdrawn() {
 	for _, id := range sortedKeys(c.requests) {
 		r := c.requests[id]
@@ -182,8 +181,7 @@
 	}
 }
 
-// next returns the request of an account that would be dispatched next: the
-// first of the interactive ones, else of the batch ones.
+// next returns the request of an account to be dispatched next: the first interactive one, else the first batch one.
 func (q *queue) next() *request {
 	for _, waiting := range q.waiting {
 		if len(waiting) > 0 {
@@ -193,8 +191,7 @@
 	return nil
 }
 
-// dispatch sends the account's next request to a backend server, and tells
-// whether there was one.
+// dispatch sends the account's next request to a backend server and reports whether there was one.
 func (c *Core) dispatch(key model.Key, backend model.BackendID) bool {
 	q := c.queues[key]
 	if q == nil {
@@ -210,20 +207,20 @@
 	r.backend = backend
 	q.running++
 	c.running[backend]++
-	q.noteDispatch(c.now)
+	q.recordDispatch(c.now)
 	r.expected = c.lengths(r).Rest(0)
 	c.charge(r, 0)
 	c.do(Dispatch{ID: r.id, Backend: backend, Waited: c.now - r.arrived})
 	return true
 }
 
-// gapWeight is the weight of the newest observation in the smoothed gap.
-const gapWeight = 0.2
+// intervalWeight is the weight of the newest interval in the smoothed one.
+const intervalWeight = 0.2
 
-func (q *queue) noteDispatch(now model.Time) {
+func (q *queue) recordDispatch(now model.Time) {
 	if q.last > 0 {
 		newest := float64(now - q.last)
-		q.gap = time.Duration((1-gapWeight)*float64(q.gap) + gapWeight*newest)
+		q.interval = time.Duration((1-intervalWeight)*float64(q.interval) + intervalWeight*newest)
 	}
 	q.last = now
 }
@@ -246,7 +243,7 @@
 	c.slotFreed(r.backend)
 	c.noteBusy(r.key, q)
 	if e.Ending == NotSent {
-		c.tryAgain(r, q)
+		c.requeue(r, q)
 		return
 	}
 	if e.Ending == Cancelled {
@@ -261,11 +258,11 @@
 	delete(c.requests, r.id)
 }
 
-// tryAgain puts a request of which nothing was sent back at the head of its
-// queue, and leaves its backend server out for a while.
-func (c *Core) tryAgain(r *request, q *queue) {
+// requeue puts a request of which nothing was sent back at the head of its queue and excludes its backend server for
+// a while.
+func (c *Core) requeue(r *request, q *queue) {
 	c.chargeTokens(r, 0)
-	c.refuseBackend(r.backend)
+	c.excludeBackend(r.backend)
 	if r.attempts >= maxAttempts {
 		delete(c.requests, r.id)
 		c.do(Refuse{ID: r.id, Reason: Unreachable, RetryAfter: c.retryAfter(q)})
@@ -276,17 +273,17 @@
 	c.demandGrew(r.key, q)
 }
 
-func (c *Core) refuseBackend(id model.BackendID) {
+func (c *Core) excludeBackend(id model.BackendID) {
 	f := c.refused[id]
 	if f == nil {
-		f = &refusal{pause: refusalPause / 2}
+		f = &exclusion{pause: exclusionPause / 2}
 		c.refused[id] = f
 	}
-	f.pause = min(2*f.pause, maxRefusalPause)
+	f.pause = min(2*f.pause, maxExclusionPause)
 	f.until = c.now + f.pause
 }
 
-// refuses tells whether this router sends nothing new to a backend server now.
+// refuses reports whether this router currently sends no new requests to a backend server.
 func (c *Core) refuses(id model.BackendID) bool {
 	if b := c.config.Backends[id]; b.Leaving || b.Evacuated {
 		return true
@@ -298,18 +295,18 @@
 	return f != nil && (f.leaving || c.now < f.until)
 }
 
-// leaving takes the VM list's word on which backend servers get nothing new.
-func (c *Core) leaving(ids []model.BackendID) {
+// setLeaving sets the backend servers that get no new requests according to the VM list.
+func (c *Core) setLeaving(ids []model.BackendID) {
 	for _, f := range c.refused {
 		f.leaving = false
 	}
 	for _, id := range ids {
 		f := c.refused[id]
 		if f == nil {
-			f = &refusal{pause: refusalPause}
+			f = &exclusion{pause: exclusionPause}
 			c.refused[id] = f
 		}
 		f.leaving = true
 	}
-	c.dirtyAll()
+	c.markAllDirty()
 }
--- a/core/owner.go
+++ b/core/owner.go
@@ -8,44 +8,43 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// suspension is how long an owner leaves out a backend server that an ingress
-// router couldn't use.
+// suspension is how long an owner grants no slots of a backend server that an ingress router couldn't use.
 const suspension = 500 * time.Millisecond
 
 // backend is an owned backend server.
 type backend struct {
-	id        model.BackendID
-	pool      model.PoolID
-	slots     int // this router's share
-	limit     int // of the slots, what the engine's reports allow
-	held      int // running for other routers, by their reports
-	granted   int // grants not yet in a report
-	peak      [2]int
-	peakSince model.Time
-	foreign   int // running for routers not known here
-	load      Load
-	adjusted  model.Time
-	ready     model.Time // when a new owner may grant
-	suspended model.Time
-}
-
-// source is what an owner knows of an ingress router.
+	id               model.BackendID
+	pool             model.PoolID
+	slots            int // this router's share
+	limit            int // slots that may be used according to the engine's load reports
+	runningElsewhere int // requests running for other routers, according to their reports
+	granted          int // grants that no report has acknowledged
+	peak             [2]int
+	peakSince        model.Time
+	foreign          int // requests in the load reports that no router's report accounts for
+	load             Load
+	adjusted         model.Time
+	ready            model.Time // when a new owner may start to grant
+	suspendedUntil   model.Time
+}
+
+// source is the last state that an owner received from an ingress router.
 type source struct {
 	report  *wire.Report
-	pending []pendingGrant // in the order of their sequence
+	pending []pendingGrant // in ascending order of sequence
 }
 
-// offer is what waits of an account at one router, less what was granted since.
-type offer struct {
+// routerDemand is the number of requests of an account that wait at one router, less the grants made since its report.
+type routerDemand struct {
 	router string
 	count  [model.Classes]int
 	oldest model.Time
 }
 
-// demand is what waits of an account at all routers.
+// demand is the waiting requests of an account at all routers.
 type demand struct {
-	offers []*offer
-	recent []recentGrant // grants that the ledger may not show yet
+	byRouter []*routerDemand
+	recent   []recentGrant // grants that the ledger may not include yet
 }
 
 func (c *Core) demandOf(key model.Key) *demand {
@@ -57,15 +56,15 @@
 	return d
 }
 
-func (d *demand) offerOf(router string) *offer {
-	for _, o := range d.offers {
+func (d *demand) forRouter(router string) *routerDemand {
+	for _, o := range d.byRouter {
 		if o.router == router {
 			return o
 		}
 	}
-	o := &offer{router: router}
-	d.offers = append(d.offers, o)
-	slices.SortFunc(d.offers, func(a, b *offer) int {
+	o := &routerDemand{router: router}
+	d.byRouter = append(d.byRouter, o)
+	slices.SortFunc(d.byRouter, func(a, b *routerDemand) int {
 		if a.router < b.router {
 			return -1
 		}
@@ -75,12 +74,12 @@
 }
 
 func (d *demand) waits(class model.Class) bool {
-	return slices.ContainsFunc(d.offers, func(o *offer) bool { return o.count[class] > 0 })
+	return slices.ContainsFunc(d.byRouter, func(o *routerDemand) bool { return o.count[class] > 0 })
 }
 
-// offerSelf keeps the router's own offer equal to its queue.
+// offerSelf sets this router's own demand from its queue.
 func (c *Core) offerSelf(key model.Key, q *queue) {
-	o := c.demandOf(key).offerOf(c.members.Self().Name)
+	o := c.demandOf(key).forRouter(c.members.Self().Name)
 	for class := range q.waiting {
 		o.count[class] = len(q.waiting[class])
 	}
@@ -88,7 +87,7 @@
 	c.dirty[key.Pool] = true
 }
 
-func (c *Core) dirtyAll() {
+func (c *Core) markAllDirty() {
 	for pool := range c.poolOrder {
 		c.dirty[pool] = true
 	}
@@ -100,51 +99,50 @@
 	}
 }
 
-// rebuildOwner works out the occupied slots and the demands anew from what the
-// routers last reported.
+// rebuildOwner recomputes the occupied slots and the demands from the last report of each router.
 func (c *Core) rebuildOwner() {
 	for _, b := range c.backends {
-		b.held, b.granted = 0, 0
+		b.runningElsewhere, b.granted = 0, 0
 	}
 	self := c.members.Self().Name
 	for _, d := range c.demands {
-		d.offers = slices.DeleteFunc(d.offers, func(o *offer) bool { return o.router != self })
+		d.byRouter = slices.DeleteFunc(d.byRouter, func(o *routerDemand) bool { return o.router != self })
 	}
 	for _, name := range sortedKeys(c.sources) {
-		c.countSource(name, c.sources[name])
+		c.addSource(name, c.sources[name])
 	}
-	c.dirtyAll()
+	c.markAllDirty()
 }
 
-// countSource adds what a router occupies and wants.
-func (c *Core) countSource(name string, s *source) {
+// addSource adds a router's occupied slots and its demand.
+func (c *Core) addSource(name string, s *source) {
 	c.addOccupied(s, 1)
 	if s.report == nil {
 		return
 	}
 	for _, d := range s.report.Demands {
 		key := model.Key{Pool: model.PoolID(d.Pool), Account: model.AccountID(d.Account)}
-		o := c.demandOf(key).offerOf(name)
+		o := c.demandOf(key).forRouter(name)
 		o.count[model.Interactive] = int(d.Interactive)
 		o.count[model.Batch] = int(d.Batch)
 		o.oldest = c.now - time.Duration(d.OldestMs)*time.Millisecond
 		c.dirty[key.Pool] = true
 	}
 	for _, g := range s.pending {
-		o := c.demandOf(g.key).offerOf(name)
+		o := c.demandOf(g.key).forRouter(name)
 		o.count[g.class] = max(o.count[g.class]-1, 0)
 	}
 }
 
-// uncountSource takes away what countSource added.
-func (c *Core) uncountSource(name string, s *source) {
+// subtractSource subtracts what addSource added.
+func (c *Core) subtractSource(name string, s *source) {
 	c.addOccupied(s, -1)
 	if s.report == nil {
 		return
 	}
 	for _, d := range s.report.Demands {
 		key := model.Key{Pool: model.PoolID(d.Pool), Account: model.AccountID(d.Account)}
-		c.demandOf(key).offerOf(name).count = [model.Classes]int{}
+		c.demandOf(key).forRouter(name).count = [model.Classes]int{}
 	}
 }
 
@@ -159,13 +157,13 @@
 	}
 	for _, h := range s.report.Holds {
 		if b := c.backends[model.BackendID(h.Backend)]; b != nil {
-			b.held += sign * int(h.Running)
+			b.runningElsewhere += sign * int(h.Running)
 		}
 	}
 }
 
-// takeReport replaces what is known of an ingress router.
-func (c *Core) takeReport(from string, report *wire.Report) {
+// applyReport replaces the state of an ingress router by a newer report.
+func (c *Core) applyReport(from string, report *wire.Report) {
 	s := c.sources[from]
 	if s == nil {
 		s = &source{}
@@ -174,45 +172,45 @@
 	if s.report != nil && report.Sequence <= s.report.Sequence {
 		return
 	}
-	c.uncountSource(from, s)
+	c.subtractSource(from, s)
 	if report.HoldsOnly && s.report != nil {
 		report.Demands = s.report.Demands
 	}
 	s.report = report
-	c.settlePending(s)
-	c.countSource(from, s)
+	c.removeAcknowledged(s)
+	c.addSource(from, s)
 	for _, h := range report.Holds {
-		c.takeHold(h)
+		c.applyHold(h)
 	}
 }
 
-func (c *Core) takeHold(h *wire.Hold) {
+func (c *Core) applyHold(h *wire.Hold) {
 	b := c.backends[model.BackendID(h.Backend)]
 	if b == nil {
 		return
 	}
 	if h.Refused {
-		b.suspended = max(b.suspended, c.now+suspension)
+		b.suspendedUntil = max(b.suspendedUntil, c.now+suspension)
 	}
 	c.dirty[b.pool] = true
 }
 
-// settlePending drops the grants that the report has seen.
-func (c *Core) settlePending(s *source) {
-	seen := s.report.Seen
+// removeAcknowledged removes the pending grants that the report acknowledges.
+func (c *Core) removeAcknowledged(s *source) {
+	acknowledged := s.report.Seen
 	if s.report.OwnerBoot != c.members.Self().Boot {
-		seen = 0
+		acknowledged = 0
 	}
 	s.pending = slices.DeleteFunc(s.pending, func(g pendingGrant) bool {
-		if g.sequence <= seen && s.report.HoldsOnly {
-			takeFromDemand(s.report, g)
+		if g.sequence <= acknowledged && s.report.HoldsOnly {
+			subtractGrant(s.report, g)
 		}
-		return g.sequence <= seen
+		return g.sequence <= acknowledged
 	})
 }
 
-// takeFromDemand takes a grant that was seen off what a router wants.
-func takeFromDemand(report *wire.Report, g pendingGrant) {
+// subtractGrant subtracts an acknowledged grant from a router's reported demand.
+func subtractGrant(report *wire.Report, g pendingGrant) {
 	for _, d := range report.Demands {
 		if d.Pool != uint32(g.key.Pool) || d.Account != uint32(g.key.Account) {
 			continue
@@ -225,13 +223,13 @@
 	}
 }
 
-// forgetSource drops what a dead or restarted router held.
-func (c *Core) forgetSource(name string) {
+// removeSource removes the state of a dead or restarted router.
+func (c *Core) removeSource(name string) {
 	s := c.sources[name]
 	if s == nil {
 		return
 	}
-	c.uncountSource(name, s)
+	c.subtractSource(name, s)
 	delete(c.sources, name)
-	c.dirtyAll()
+	c.markAllDirty()
 }
--- a/core/pick.go
+++ b/core/pick.go
@@ -8,23 +8,23 @@
 	"github.com/tamarindstep/tamarindstep/policy"
 )
 
-// goRoundEvery is which of the grants goes round the waiting accounts while they
-// are further apart than the policy's CatchUpTokens.
-const goRoundEvery = 4
+// roundRobinEvery is the number of grants of which one goes to the account granted least recently, while the accounts'
+// scores differ by more than the policy's CatchUpTokens.
+const roundRobinEvery = 4
 
-// candidate is an account that could be granted a slot.
+// candidate is an account that may be granted a slot.
 type candidate struct {
 	key    model.Key
 	score  model.Service
 	oldest model.Time
 }
 
-// pick returns the account to be served next in a pool.
+// pick returns the account to be granted the next slot in a pool.
 func (c *Core) pick(pool model.PoolID) (model.Key, bool) {
 	return c.first(c.candidates(pool))
 }
 
-// first returns the candidate to be served first.
+// first returns the account of the candidate to be granted a slot first.
 func (c *Core) first(candidates []candidate) (model.Key, bool) {
 	if len(candidates) == 0 {
 		return model.Key{}, false
@@ -32,27 +32,25 @@
 	best := candidates[0]
 	most := candidates[0].score
 	for _, x := range candidates[1:] {
-		if c.before(x, best) {
+		if c.precedes(x, best) {
 			best = x
 		}
 		most = max(most, x.score)
 	}
 	catchUp := model.ServiceOf(c.config.Policy.CatchUpTokens, 1)
-	if catchUp > 0 && most-best.score > catchUp && c.grants%goRoundEvery == 0 {
-		best = c.longestPassedOver(candidates)
+	if catchUp > 0 && most-best.score > catchUp && c.grants%roundRobinEvery == 0 {
+		best = c.leastRecentlyGranted(candidates)
 	}
 	return best.key, true
 }
 
-// urgentLead is how far ahead of the others that wait an account may be, in
-// tokens at weight 1, for its interactive work to exceed the slots.
-const urgentLead = 1000
+// maxUrgentLead is the greatest lead over the last of the waiting accounts, in tokens at weight 1, with which an
+// account's interactive requests may exceed the slots.
+const maxUrgentLead = 1000
 
-// pickUrgent returns the account whose interactive work may exceed the slots:
-// the furthest behind of those that have fewer requests running than their even
-// part of the pool, and aren't ahead of others that wait. An account that fills
-// the pool by itself so leaves this room to the others, and one that is ahead
-// doesn't stay ahead by it.
+// pickUrgent returns the account whose interactive requests may exceed the slots: the furthest behind of those that run
+// fewer requests than an equal share of the pool and don't lead by more than maxUrgentLead. So an account that fills
+// the pool leaves the additional slots to the others, and an account that is ahead doesn't stay ahead by them.
 func (c *Core) pickUrgent(pool model.PoolID) (model.Key, bool) {
 	waiting := c.candidates(pool)
 	if len(waiting) == 0 {
@@ -62,11 +60,11 @@
 	for _, x := range waiting {
 		least = min(least, x.score)
 	}
-	most := least + model.ServiceOf(urgentLead, 1)
-	part := c.poolSlots(pool) / max(c.ledger.Active(pool), 1)
+	most := least + model.ServiceOf(maxUrgentLead, 1)
+	equalShare := c.poolSlots(pool) / max(c.ledger.Active(pool), 1)
 	urgent := slices.DeleteFunc(waiting, func(x candidate) bool {
 		d := c.demands[x.key]
-		return !d.waits(model.Interactive) || x.score > most || c.ledger.Running(x.key)+len(d.recent) >= part
+		return !d.waits(model.Interactive) || x.score > most || c.ledger.Running(x.key)+len(d.recent) >= equalShare
 	})
 	return c.first(urgent)
 }
@@ -82,8 +80,8 @@
 	return slots
 }
 
-// before tells whether a goes before b.
-func (c *Core) before(a, b candidate) bool {
+// precedes reports whether a is served before b.
+func (c *Core) precedes(a, b candidate) bool {
 	if c.config.Policy.Order != policy.ByArrival && a.score != b.score {
 		return a.score < b.score
 	}
@@ -93,8 +91,8 @@
 	return a.key.Compare(b.key) < 0
 }
 
-// longestPassedOver returns the candidate whose last grant is the longest ago.
-func (c *Core) longestPassedOver(candidates []candidate) candidate {
+// leastRecentlyGranted returns the candidate whose last grant was longest ago.
+func (c *Core) leastRecentlyGranted(candidates []candidate) candidate {
 	best := candidates[0]
 	for _, x := range candidates[1:] {
 		if c.lastGrant[x.key] < c.lastGrant[best.key] {
@@ -105,19 +103,19 @@
 }
 
 func (c *Core) candidates(pool model.PoolID) []candidate {
-	standing := c.ledger.Standings(pool)
+	virtualService := c.ledger.Standings(pool)
 	var out []candidate
 	for _, key := range c.demandKeys(pool) {
 		d := c.demands[key]
-		if c.atConcurrency(key, d) {
+		if c.atConcurrencyLimit(key, d) {
 			continue
 		}
-		out = append(out, candidate{key: key, score: standing(key) + d.recentService(c.now, c.ledger.Loop()), oldest: d.oldest(c.now)})
+		out = append(out, candidate{key: key, score: virtualService(key) + d.recentService(c.now, c.ledger.Loop()), oldest: d.oldest(c.now)})
 	}
 	return out
 }
 
-// demandKeys returns the accounts with any demand in a pool, in order.
+// demandKeys returns the accounts with waiting requests in a pool, in order.
 func (c *Core) demandKeys(pool model.PoolID) []model.Key {
 	var out []model.Key
 	for key, d := range c.demands {
@@ -131,7 +129,7 @@
 
 func (d *demand) oldest(now model.Time) model.Time {
 	oldest := now
-	for _, o := range d.offers {
+	for _, o := range d.byRouter {
 		if o.count[model.Interactive]+o.count[model.Batch] > 0 {
 			oldest = min(oldest, o.oldest)
 		}
@@ -139,8 +137,7 @@
 	return oldest
 }
 
-// recentService returns the service of the grants that the ledger may not show
-// yet, and forgets the older ones.
+// recentService returns the service of the grants that the ledger may not include yet, and discards the older ones.
 func (d *demand) recentService(now model.Time, loop time.Duration) model.Service {
 	d.recent = slices.DeleteFunc(d.recent, func(r recentGrant) bool { return now > r.at+loop })
 	var sum model.Service
@@ -150,9 +147,8 @@
 	return sum
 }
 
-// atConcurrency tells whether an account has as many requests running over the
-// fleet as it may.
-func (c *Core) atConcurrency(key model.Key, d *demand) bool {
+// atConcurrencyLimit reports whether an account runs as many requests in the fleet as its limit allows.
+func (c *Core) atConcurrencyLimit(key model.Key, d *demand) bool {
 	limit := c.config.Accounts[key.Account].Limits.Concurrent
 	return limit > 0 && c.ledger.Running(key)+len(d.recent) >= limit
 }
--- a/core/placement.go
+++ b/core/placement.go
@@ -9,22 +9,21 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// maxOwners is the greatest number of owners of a pool to which an ingress
-// router reports what waits.
+// maxOwners is the greatest number of owners of a pool to which an ingress router reports its demand.
 const maxOwners = 8
 
-// placement is what follows from the live routers and the configuration.
+// placement is the assignment of backend servers to owners, derived from the live routers and the configuration.
 type placement struct {
 	stale   bool
 	version uint64
 	owner   map[model.BackendID]string
-	// reportTo holds, for each pool, the owners that this router reports to.
+	// reportTo holds the owners of each pool that this router reports to.
 	reportTo map[model.PoolID][]string
 	// ownedBy holds the backend servers of each owner.
 	ownedBy map[string][]model.BackendID
 }
 
-// refreshPlacement works out anew who owns what, where that may have changed.
+// refreshPlacement recomputes the placement if the live routers or the configuration have changed.
 func (c *Core) refreshPlacement() {
 	if !c.placement.stale && c.placement.version == c.members.Version() {
 		return
@@ -36,7 +35,7 @@
 		reportTo: map[model.PoolID][]string{},
 		ownedBy:  map[string][]model.BackendID{},
 	}
-	c.arrangeTree()
+	c.updateTree()
 	c.chooseWatchers(live)
 	c.prompt.SetRouters(len(live))
 	self := c.members.Self().Name
@@ -51,14 +50,13 @@
 	for pool, owners := range c.placement.reportTo {
 		c.placement.reportTo[pool] = c.nearestOwners(owners)
 	}
-	c.takeOwnership(live)
+	c.updateOwnership(live)
 	c.allReportsDue()
 }
 
-// arrangeTree orders the ledger's tree. A policy that doesn't order by the fleet's
-// service leaves each router alone: the tree takes ten messages a second of a router even
-// where nothing is asked for.
-func (c *Core) arrangeTree() {
+// updateTree sets the routers of the ledger's tree. The tree is empty under a policy that doesn't order by the fleet's
+// service, as it costs each router ten messages a second even if there are no requests.
+func (c *Core) updateTree() {
 	var order []ledger.Peer
 	if c.config.Policy != nil && c.config.Policy.Owned {
 		for _, m := range c.members.Running() {
@@ -85,8 +83,8 @@
 	}
 }
 
-// chooseOwner returns the owner of a backend server: of the live routers in its
-// data hall, or of all where none lives there, the one with the highest weight.
+// chooseOwner returns the owner of a backend server: the one with the highest rendezvous weight of the live routers in
+// its data hall, or of all live routers if there are none in its data hall.
 func chooseOwner(b Backend, live []*member.Member) string {
 	best, bestNear, bestWeight := "", false, uint64(0)
 	for _, m := range live {
@@ -100,9 +98,9 @@
 	return best
 }
 
-// nearestOwners keeps the owners that this router reports to: itself first,
-// those in its data hall next, and of these the ones of highest weight for it,
-// so that ingress routers spread over the owners.
+// nearestOwners returns at most maxOwners owners that this router reports to: itself first, then those in its data
+// hall, then the others, each group in descending order of rendezvous weight so that ingress routers spread over the
+// owners.
 func (c *Core) nearestOwners(owners []string) []string {
 	self := c.members.Self()
 	rank := func(name string) int {
@@ -122,30 +120,29 @@
 	return owners[:min(len(owners), maxOwners)]
 }
 
-// takeOwnership starts accounting for the backend servers that are now this
-// router's, and stops for those that aren't.
-func (c *Core) takeOwnership(live []*member.Member) {
+// updateOwnership starts accounting for the backend servers that this router now owns, and stops for all others.
+func (c *Core) updateOwnership(live []*member.Member) {
 	self := c.members.Self().Name
-	mine := c.placement.ownedBy[self]
+	owned := c.placement.ownedBy[self]
 	for id := range c.backends {
-		if !slices.Contains(mine, id) {
+		if !slices.Contains(owned, id) {
 			delete(c.backends, id)
 		}
 	}
 	clear(c.poolOrder)
 	rank := slices.IndexFunc(live, func(m *member.Member) bool { return m.Name == self })
-	for _, id := range mine {
+	for _, id := range owned {
 		c.own(id, max(len(live), 1), max(rank, 0))
 	}
 	c.rebuildOwner()
-	if !slices.Equal(mine, c.watched) {
-		c.do(Watch{Backends: mine})
-		c.watched = mine
+	if !slices.Equal(owned, c.watched) {
+		c.do(Watch{Backends: owned})
+		c.watched = owned
 	}
 }
 
-// Responsible returns the address of the live router that a subject falls to by
-// rendezvous hashing, "" where that is this router.
+// Responsible returns the address of the live router that a subject is assigned to by rendezvous hashing, "" if that is
+// this router.
 func (c *Core) Responsible(subject string) string {
 	self := c.members.Self()
 	address, weight := "", uint64(0)
--- a/core/slots.go
+++ b/core/slots.go
@@ -9,17 +9,15 @@
 )
 
 const (
-	// recovery is how long a new owner waits for the reports of those that
-	// already use the backend server.
+	// recovery is how long a new owner waits for the reports of the routers that already use the backend server.
 	recovery = 300 * time.Millisecond
-	// loadLag is how old a backend server's load report may be.
-	loadLag = 2 * time.Second
-	// interactiveShare is the part of the slots, one in so many, by which
-	// interactive work may exceed them.
+	// maxLoadAge is the greatest age of a backend server's load report.
+	maxLoadAge = 2 * time.Second
+	// interactiveShare is the number of slots for each of which interactive requests may take one slot more.
 	interactiveShare = 8
 )
 
-// own starts accounting for a backend server, or takes a change of its slots.
+// own starts accounting for a backend server, or applies a change of its slots.
 func (c *Core) own(id model.BackendID, routers, rank int) {
 	conf := c.config.Backends[id]
 	slots := c.config.Policy.Slots(policy.Share{Backend: id, Slots: conf.Slots, Routers: routers, Rank: rank})
@@ -37,19 +35,19 @@
 	c.dirty[b.pool] = true
 }
 
-// occupied returns the slots of an owned backend server that are taken.
+// occupied returns the number of occupied slots of an owned backend server.
 func (c *Core) occupied(b *backend) int {
-	return c.running[b.id] + b.held + b.granted
+	return c.running[b.id] + b.runningElsewhere + b.granted
 }
 
 func (c *Core) free(b *backend) int {
-	if c.now < b.ready || c.now < b.suspended || c.refuses(b.id) || b.load.Leaving || b.load.Failed {
+	if c.now < b.ready || c.now < b.suspendedUntil || c.refuses(b.id) || b.load.Leaving || b.load.Failed {
 		return 0
 	}
 	return b.limit - c.occupied(b) - b.foreign
 }
 
-// freeSlots tells how many slots could be granted at once, for each pool.
+// freeSlots returns how many slots of each pool could be granted now.
 func (c *Core) freeSlots() []*wire.Free {
 	var out []*wire.Free
 	for _, pool := range sortedKeys(c.poolOrder) {
@@ -62,8 +60,8 @@
 	return out
 }
 
-// load takes a backend server's own word on its load.
-func (c *Core) load(l Load) {
+// applyLoad applies a backend server's load report.
+func (c *Core) applyLoad(l Load) {
 	b := c.backends[l.Backend]
 	if b == nil {
 		return
@@ -74,26 +72,27 @@
 		return
 	}
 	occupied := c.occupied(b)
-	c.notePeak(b, occupied)
+	c.recordPeak(b, occupied)
 	b.foreign = max(l.Running+l.Waiting-max(b.peak[0], b.peak[1]), 0)
 	if c.config.Policy.FollowLoad {
-		c.followLoad(b, occupied)
+		c.adjustLimit(b, occupied)
 	}
 }
 
-// noticed takes what a backend server says of itself. Where this router grants its slots, nobody gets one while
-// it rests: a grant that its receiver may not use is a slot that idles.
-func (c *Core) noticed(e Noticed) {
+// applyNotice applies a notice that a backend server sent about itself. If this router owns the backend server, it
+// grants no slots while the notice asks for no new requests: the receiver couldn't use the grant and the slot would
+// idle.
+func (c *Core) applyNotice(e Noticed) {
 	c.notices.Take(c.now, e.Backend, e.Notice)
 	if b := c.backends[e.Backend]; b != nil {
-		b.suspended = max(b.suspended, c.notices.RestsUntil(c.now, e.Backend))
+		b.suspendedUntil = max(b.suspendedUntil, c.notices.RestsUntil(c.now, e.Backend))
 	}
 }
 
-// notePeak keeps the most slots known to be taken while the load may have been
-// measured, so that a late report doesn't pass for foreign work.
-func (c *Core) notePeak(b *backend, occupied int) {
-	if c.now >= b.peakSince+loadLag {
+// recordPeak keeps the greatest number of occupied slots in the time in which the load may have been measured, so that
+// requests in a late report aren't counted as foreign.
+func (c *Core) recordPeak(b *backend, occupied int) {
+	if c.now >= b.peakSince+maxLoadAge {
 		b.peak[1] = b.peak[0]
 		b.peak[0] = 0
 		b.peakSince = c.now
@@ -101,10 +100,10 @@
 	b.peak[0] = max(b.peak[0], occupied)
 }
 
-// followLoad lets the limit shrink while the engine reports a queue beyond what
-// interactive work may add, and grow back while it reports none.
-func (c *Core) followLoad(b *backend, occupied int) {
-	if c.now < b.adjusted+loadLag {
+// adjustLimit lowers the limit while the engine reports a longer queue than interactive requests may cause, and raises
+// it again while the engine reports none.
+func (c *Core) adjustLimit(b *backend, occupied int) {
+	if c.now < b.adjusted+maxLoadAge {
 		return
 	}
 	over := b.slots/interactiveShare + 1
@@ -118,44 +117,42 @@
 	}
 }
 
-// readyBackends makes the pools dirty whose backend servers have just come out
-// of recovery or suspension.
-func (c *Core) readyBackends() {
+// markReady marks the pools dirty whose backend servers have just ended their recovery or suspension.
+func (c *Core) markReady() {
 	for _, b := range c.backends {
 		if b.ready > 0 && c.now >= b.ready {
 			b.ready = 0
 			c.dirty[b.pool] = true
 		}
-		if b.suspended > 0 && c.now >= b.suspended {
-			b.suspended = 0
+		if b.suspendedUntil > 0 && c.now >= b.suspendedUntil {
+			b.suspendedUntil = 0
 			c.dirty[b.pool] = true
 		}
 	}
 }
 
-// nextReady returns when the next backend server comes out of recovery or
-// suspension, or a grant is to be sent again.
+// nextReady returns when the next recovery or suspension ends, or the next grant is to be sent again.
 func (c *Core) nextReady() model.Time {
 	wake := never
 	for _, b := range c.backends {
 		if b.ready > 0 {
 			wake = min(wake, b.ready)
 		}
-		if b.suspended > 0 {
-			wake = min(wake, b.suspended)
+		if b.suspendedUntil > 0 {
+			wake = min(wake, b.suspendedUntil)
 		}
 	}
 	for _, s := range c.sources {
 		for _, g := range s.pending {
-			wake = min(wake, g.sent+grantRepeat)
+			wake = min(wake, g.sent+grantResend)
 		}
 	}
 	return wake
 }
 
-// freest returns the owned backend server of a pool with the most free slots.
-// With a share over 0, each has one more slot for every so many.
-func (c *Core) freest(pool model.PoolID, share int) *backend {
+// mostFree returns the owned backend server of a pool with the most free slots. With a share above 0, each backend
+// server has one additional slot for every share slots, but at least one.
+func (c *Core) mostFree(pool model.PoolID, share int) *backend {
 	var best *backend
 	most := 0
 	for _, id := range c.poolOrder[pool] {
@@ -174,8 +171,8 @@
 	return best
 }
 
-// mayExceed tells whether interactive work may go over a backend server's slots.
+// mayExceed reports whether interactive requests may exceed a backend server's slots.
 func (c *Core) mayExceed(b *backend) bool {
-	usable := c.now >= b.ready && c.now >= b.suspended && !c.refuses(b.id) && !b.load.Leaving && !b.load.Failed
+	usable := c.now >= b.ready && c.now >= b.suspendedUntil && !c.refuses(b.id) && !b.load.Leaving && !b.load.Failed
 	return usable && c.config.Policy.Owned && c.config.Pools[b.pool].FollowLoad
 }
--- a/core/view.go
+++ b/core/view.go
@@ -7,7 +7,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// View fills in what operators are shown of this router.
+// View fills in this router's status for operators.
 func (c *Core) View(out *wire.StatusResponse) {
 	self := c.members.Self()
 	out.Name = self.Name
@@ -96,9 +96,8 @@
 	}
 }
 
-// virtualService returns an account's service over the fleet, in tokens divided by weight:
-// since the fleet's start or, where decisions are made by prompt and no ledger is kept,
-// since this router's.
+// virtualService returns an account's service over the fleet, in tokens divided by weight: since the fleet's start or,
+// if the policy decides by prompt and uses no ledger, since this router's start.
 func (c *Core) virtualService(key model.Key) float64 {
 	if c.config.Policy == nil || c.config.Policy.ByPrompt == nil {
 		return c.ledger.Virtual(key).Tokens()
@@ -109,7 +108,7 @@
 // Live returns how many routers are live, this one included.
 func (c *Core) Live() int { return len(c.members.Live()) }
 
-// Address returns the peer address of a live router, "" for none.
+// Address returns the peer address of a live router, "" if there is none of that name.
 func (c *Core) Address(name string) string {
 	if m := c.members.Get(name); m != nil && m.Reachable() {
 		return m.Address
--- a/core/watch.go
+++ b/core/watch.go
@@ -10,55 +10,53 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// minWatchers is how many routers watch the store at the least; they tell the others. Each
-// watch is a call that the store counts, so that more than one a data hall is spent only
-// for the chance that the store turns some routers away: of six, with a third turned away,
-// all are once in 700 times.
+// minWatchers is the minimum number of routers that watch the store; they notify the others. Each watch is a call that
+// counts against the store's limits. More than one per data hall are needed only in case the store rejects some
+// routers: with a third of the routers rejected, all of six are rejected once in 700 times.
 const minWatchers = 6
 
-// A router that watches the store may be cut off from it and not know: its watch is silent
-// as where nothing changes. So each asks the store a small thing now and then, which is ten
-// times cheaper than a watch, and every datagram tells how long ago a router that watches
-// has reached the store, as far as its sender knows. A router that knows of none for too
-// long asks the store itself, and watches it where it answers: what the operators write is
-// in force within a bound wherever any router reaches the store.
+// A watcher can't detect from its watch that the store has become unreachable: the watch receives nothing, as it does
+// when nothing changes. So each watcher regularly contacts the store with a small read, which is ten times cheaper than
+// a watch, and every datagram carries the time since a watcher last reached the store, according to its sender. If that
+// becomes too long, a router contacts the store itself and watches it if it answers. So the operators' changes are in
+// force within a bounded time wherever any router reaches the store.
 const (
-	// contactEvery is how often a router that watches asks the store.
-	contactEvery = 400 * time.Millisecond
-	// watchPatience is how long ago the store may have been reached where there are no more
-	// routers than watchers, and patiencePerDoubling what each doubling of the fleet adds:
-	// news spreads over an idle fleet by probes, four datagrams a second of each router.
-	watchPatience       = time.Second
-	patiencePerDoubling = 250 * time.Millisecond
-	// watchStagger spreads the routers in that, so that the first that watches is heard by
-	// the others before they ask.
+	// contactInterval is the interval at which a watcher contacts the store.
+	contactInterval = 400 * time.Millisecond
+	// maxStoreAge is the greatest allowed time since the store was last reached in a fleet of at most minWatchers
+	// routers, and storeAgePerDoubling is added for each doubling of the fleet: in an idle fleet the information spreads
+	// by probes, at four datagrams a second from each router.
+	maxStoreAge         = time.Second
+	storeAgePerDoubling = 250 * time.Millisecond
+	// watchStagger spreads the routers' limits, so that the others learn of the first new watcher before they contact
+	// the store.
 	watchStagger = 500 * time.Millisecond
-	// standInFor is how long such a router goes on watching. Whether the others reach the
-	// store again it can't tell, as what it hears may be an echo of itself.
-	standInFor = 10 * time.Second
-	// contactAgain is how long a router that doesn't watch leaves the store alone that
-	// didn't answer: while it is out, nobody needs more than the calls of the watchers.
-	contactAgain = 2 * time.Second
+	// substituteDuration is how long such a router continues to watch. It can't detect whether the watchers reach the
+	// store again, as the ages that it receives may stem from its own contacts.
+	substituteDuration = 10 * time.Second
+	// contactRetryInterval is how long a router that doesn't watch waits after a contact that wasn't answered: during an
+	// outage of the store the contacts of the watchers are enough.
+	contactRetryInterval = 2 * time.Second
 )
 
-// watch is this router's part in watching the store.
+// watch is this router's state for watching the store.
 type watch struct {
-	chosen  bool       // by the membership
-	standIn model.Time // until when it watches though it isn't chosen; 0 for not
-	reached model.Time // when a router that watches has reached the store, as far as known
-	told    bool       // to the driver, as in the last WatchStore
-
-	asking bool       // the store, at present
-	silent model.Time // when it was asked first of the times that it hasn't answered since; 0 for none
-	asked  model.Time // when it was asked last
-	next   model.Time // when it may be asked again
+	chosen          bool       // by the membership
+	substituteUntil model.Time // end of watching without being chosen; 0 for none
+	reached         model.Time // last time that a watcher reached the store, according to the information received here
+	reported        bool       // value of Watch in the last WatchStore action
+
+	contacting      bool       // a contact is in progress
+	unansweredSince model.Time // time of the first contact of the current series without an answer; 0 for none
+	contactedAt     model.Time // time of the last contact
+	nextContact     model.Time // earliest time of the next contact
 }
 
-// active tells whether this router watches the store.
-func (w *watch) active() bool { return w.chosen || w.standIn > 0 }
+// active reports whether this router watches the store.
+func (w *watch) active() bool { return w.chosen || w.substituteUntil > 0 }
 
-// chooseWatchers finds whether this router is one of those that watch the store: the first
-// of its data hall, and the first of the fleet that are left.
+// chooseWatchers decides whether this router is one of the watchers: the first router of each data hall, and further
+// ones of the fleet up to minWatchers, in descending order of rendezvous weight.
 func (c *Core) chooseWatchers(live []*member.Member) {
 	order := slices.Clone(live)
 	slices.SortFunc(order, func(a, b *member.Member) int {
@@ -87,108 +85,106 @@
 	return out
 }
 
-// followWatch asks the store where that is due, ends standing in for the watchers, and
-// tells the driver of a change.
-func (c *Core) followWatch() {
+// updateWatch contacts the store if that is due, ends substituting for the watchers after substituteDuration, and emits
+// WatchStore on a change.
+func (c *Core) updateWatch() {
 	w := &c.watch
-	if w.standIn > 0 && c.now >= w.standIn {
-		w.standIn = 0
+	if w.substituteUntil > 0 && c.now >= w.substituteUntil {
+		w.substituteUntil = 0
 	}
 	if c.now >= c.contactDue() {
-		w.asking = true
-		w.asked = c.now
+		w.contacting = true
+		w.contactedAt = c.now
 		c.do(ContactStore{})
 	}
-	if w.active() != w.told {
-		w.told = w.active()
-		c.do(WatchStore{Watch: w.told, Chosen: w.chosen, Unreached: c.now - w.reached})
+	if w.active() != w.reported {
+		w.reported = w.active()
+		c.do(WatchStore{Watch: w.reported, Chosen: w.chosen, Unreached: c.now - w.reached})
 	}
 }
 
-// contactDue returns when the store is to be asked.
+// contactDue returns when the store is to be contacted.
 func (c *Core) contactDue() model.Time {
 	w := &c.watch
 	switch {
-	case w.asking:
+	case w.contacting:
 		return never
 	case w.active():
-		return w.next
+		return w.nextContact
 	}
-	return max(w.next, w.reached+c.watchPatience())
+	return max(w.nextContact, w.reached+c.maxStoreAge())
 }
 
-// contacted takes whether the store has answered.
+// contacted processes the result of a contact.
 func (c *Core) contacted(e StoreContacted) {
 	w := &c.watch
-	w.asking = false
-	w.next = c.now + contactEvery
-	c.noteSilence(e.Reached)
+	w.contacting = false
+	w.nextContact = c.now + contactInterval
+	c.recordContact(e.Reached)
 	switch {
 	case e.Reached && w.active():
-		w.reached = max(w.reached, w.asked)
-	case e.Reached && c.now >= w.reached+c.watchPatience():
-		w.reached = w.asked
-		w.standIn = c.now + standInFor
+		w.reached = max(w.reached, w.contactedAt)
+	case e.Reached && c.now >= w.reached+c.maxStoreAge():
+		w.reached = w.contactedAt
+		w.substituteUntil = c.now + substituteDuration
 		c.announce()
 	case !w.active():
-		w.next = c.now + contactAgain + c.stagger()
+		w.nextContact = c.now + contactRetryInterval + c.stagger()
 	}
 }
 
-// noteSilence takes whether the store has answered, and tells the driver of its return. Watches
-// that were begun in a silence are then begun anew, and not waited for to their end: a change
-// is in force 1.0 s after the return at the latest, and not 6.0 s, for a call or two of each
-// router that watches (generation TestChangesAreInForceSoonAfterTheStoresReturn).
-func (c *Core) noteSilence(reached bool) {
+// recordContact records whether the store has answered, and emits StoreReturned when it answers again. The driver then
+// restarts the watches that began during the outage instead of waiting for their end: a change is in force at most
+// 1.0 s after the return, instead of 6.0 s, at the cost of one or two calls of each watcher.
+func (c *Core) recordContact(reached bool) {
 	w := &c.watch
 	switch {
-	case !reached && w.silent == 0:
-		w.silent = w.asked
-	case reached && w.silent > 0:
-		c.do(StoreReturned{Silent: c.now - w.silent})
-		w.silent = 0
+	case !reached && w.unansweredSince == 0:
+		w.unansweredSince = w.contactedAt
+	case reached && w.unansweredSince > 0:
+		c.do(StoreReturned{Silent: c.now - w.unansweredSince})
+		w.unansweredSince = 0
 	}
 }
 
-// StoreReached returns when a router that watches the store has last reached it, as far as this one knows.
+// StoreReached returns when a watcher last reached the store, according to the information received by this router.
 func (c *Core) StoreReached() model.Time { return c.watch.reached }
 
-// watchPatience returns how long ago the store may have been reached for all this router
-// knows.
-func (c *Core) watchPatience() time.Duration {
+// maxStoreAge returns the time since the store was last reached after which this router contacts it itself.
+func (c *Core) maxStoreAge() time.Duration {
 	doublings := math.Log2(max(float64(len(c.members.Names())+1)/minWatchers, 1))
-	return watchPatience + time.Duration(doublings*float64(patiencePerDoubling)) + c.stagger()
+	return maxStoreAge + time.Duration(doublings*float64(storeAgePerDoubling)) + c.stagger()
 }
 
-// stagger returns this router's part of watchStagger.
+// stagger returns this router's fraction of watchStagger.
 func (c *Core) stagger() time.Duration {
 	part := float64(model.Rendezvous(c.members.Self().Name, "stand-in")) / math.MaxUint64
 	return time.Duration(part * float64(watchStagger))
 }
 
-// nextWatch returns when followWatch is due.
+// nextWatch returns when updateWatch is due.
 func (c *Core) nextWatch() model.Time {
-	if c.watch.standIn > 0 {
-		return min(c.watch.standIn, c.contactDue())
+	if c.watch.substituteUntil > 0 {
+		return min(c.watch.substituteUntil, c.contactDue())
 	}
 	return c.contactDue()
 }
 
-// storeAge returns what this router tells of the store, in ms and one more.
+// storeAge returns the time since a watcher last reached the store, in ms, plus 1; in a datagram 0 means no value.
 func (c *Core) storeAge() uint32 {
 	return uint32(min((c.now-c.watch.reached)/time.Millisecond, math.MaxInt32)) + 1
 }
 
-// hearStoreAge takes what another router tells of the store.
-func (c *Core) hearStoreAge(age uint32) {
+// applyStoreAge applies a store age received from another router.
+func (c *Core) applyStoreAge(age uint32) {
 	if age == 0 {
 		return
 	}
 	w := &c.watch
 	reached := c.now - time.Duration(age-1)*time.Millisecond
-	wasOld := c.now-w.reached > c.watchPatience()/2
+	wasOld := c.now-w.reached > c.maxStoreAge()/2
 	w.reached = max(w.reached, reached)
-	if wasOld && c.now-w.reached < contactEvery {
-		c.announce() // before the others ask the store as well
+	if wasOld && c.now-w.reached < contactInterval {
+		c.announce() // before the others contact the store as well
 	}
 }
