--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -16,11 +16,10 @@
 	"github.com/tamarindstep/tamarindstep/policy/staticsplit"
 )
 
-// The benchmarks run the decisions under virtual time, all on the same seeded
-// traffic, and print a table. They are run by hand: make bench.
+// The benchmarks run the core in virtual time, all with the same seeded traffic, and print a table. Run them with
+// make bench.
 
-// benchSeeds are the seeds of the traffic; every figure is the mean and worst
-// over them.
+// benchSeeds are the seeds of the traffic; every result is the mean or the worst over them.
 var benchSeeds = []uint64{1, 2, 3}
 
 const (
@@ -29,7 +28,7 @@
 	warmUp      = 10 * time.Second
 )
 
-// system is one way of deciding.
+// system is a configuration whose decisions are measured.
 type system struct {
 	name   string
 	policy *policy.Policy
@@ -59,17 +58,16 @@
 	{"least-loaded", leastloaded.Policy, todaysHalls},
 }
 
-// figures are what one run measures.
+// figures are the results of one run.
 type figures struct {
 	gap, mean, during, after float64 // tokens
-	busy                     float64 // part of the slots used while work waits
+	busy                     float64 // fraction of the slots in use while requests wait
 	bytes                    float64 // a second, of the busiest router
 	step                     time.Duration
 	perRequest               time.Duration
 }
 
-// measure runs a fleet with every account backlogged; fault, if any, begins at
-// 120 s and is over by 240 s.
+// measure runs a fleet with every account backlogged. A fault, if any, begins at 120 s and is over by 240 s.
 func measure(s system, seed uint64, length time.Duration, fault func(*fleet)) figures {
 	f := newFleet(seed, todaysConfig(s.policy), s.halls)
 	backlog(f, seed, benchDepth)
@@ -108,8 +106,7 @@
 	return out
 }
 
-// overSeeds runs a measurement for each seed and returns the mean and the worst
-// of a figure.
+// overSeeds runs a measurement for each seed and returns the results.
 func overSeeds(run func(seed uint64) figures) (all []figures) {
 	for _, seed := range benchSeeds {
 		all = append(all, run(seed))
@@ -141,7 +138,7 @@
 	}
 }
 
-// faults are what may happen to a fleet of nine.
+// faults are the faults measured in a fleet of nine routers.
 var faults = []struct {
 	name string
 	do   func(*fleet)
@@ -168,11 +165,11 @@
 	}},
 }
 
-// keepBacklogged makes up for the requests that killed routers took with them.
+// keepBacklogged replaces the requests that were lost with killed routers.
 func keepBacklogged(f *fleet, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 99))
-	var top func()
-	top = func() {
+	var refill func()
+	refill = func() {
 		for _, name := range accountNames(10) {
 			l := &closedLoad{fleet: f, random: random, account: model.Account(name), batch: 1, mean: 300, spread: 1}
 			for r := range f.nodes {
@@ -182,12 +179,12 @@
 				l.submit()
 			}
 		}
-		f.after(time.Second, top)
+		f.after(time.Second, refill)
 	}
-	top()
+	refill()
 }
 
-// measureFault measures a fair fleet to which something happens.
+// measureFault measures a fleet-fair fleet under a fault.
 func measureFault(seed uint64, fault func(*fleet)) figures {
 	return measure(systems[3], seed, benchLength, func(f *fleet) {
 		keepBacklogged(f, seed)
@@ -211,7 +208,7 @@
 	}
 }
 
-// openLoad lets an account send requests at a rate, whatever becomes of them.
+// openLoad is an open-loop load: an account sends requests at a rate that doesn't depend on their outcome.
 func openLoad(f *fleet, seed uint64, account int, perSecond float64, waits *[]time.Duration) {
 	random := rand.New(rand.NewPCG(seed, uint64(account)+500))
 	l := &closedLoad{
@@ -248,12 +245,11 @@
 	return waits[int(p*float64(len(waits)-1))]
 }
 
-// portion is a tenth of what 72 slots of 50 tokens a second give, in requests a
-// second of 100 tokens.
-const portion = 3.6
+// equalRate is a tenth of the capacity of 72 slots at 50 tokens a second, in requests of 100 tokens a second.
+const equalRate = 3.6
 
-// floodWaits returns how long the interactive requests of nine accounts wait,
-// with a tenth that sends 50 times its portion or without.
+// floodWaits returns the waiting times of the interactive requests of nine accounts, with or without a tenth account
+// that sends 50 times equalRate.
 func floodWaits(s system, flood bool) (waits []time.Duration) {
 	for _, seed := range benchSeeds {
 		config := todaysConfig(s.policy)
@@ -263,10 +259,10 @@
 		}
 		f := newFleet(seed, config, s.halls)
 		for account := 1; account < 10; account++ {
-			openLoad(f, seed, account, portion*0.6, &waits)
+			openLoad(f, seed, account, equalRate*0.6, &waits)
 		}
 		if flood {
-			openLoad(f, seed, 0, portion*50, nil)
+			openLoad(f, seed, 0, equalRate*50, nil)
 		}
 		f.runUntil(300 * time.Second)
 	}
@@ -286,14 +282,14 @@
 	}
 }
 
-// slope is one size of a fleet whose cost is measured.
-type slope struct {
+// fleetSize is a size of a fleet whose cost is measured.
+type fleetSize struct {
 	routers, accounts, backlogged, backends int
 	rate                                    float64 // requests a second and router
 }
 
-// config returns the configuration and the routers' data halls at a size.
-func (s slope) config() (*Config, []string) {
+// config returns the configuration and the routers' data halls for a size.
+func (s fleetSize) config() (*Config, []string) {
 	config := todaysConfig(fleetfair.Policy)
 	clear(config.Backends)
 	clear(config.Accounts)
@@ -311,9 +307,8 @@
 	return config, halls
 }
 
-// load puts a backlog of requests that don't end into a fleet, and lets short
-// ones arrive.
-func (s slope) load(f *fleet) {
+// load submits a backlog of requests that don't end, and lets short ones arrive.
+func (s fleetSize) load(f *fleet) {
 	random := rand.New(rand.NewPCG(1, 1))
 	names := accountNames(s.accounts)
 	submit := func(n *node, class model.Class, output float64) {
@@ -337,7 +332,7 @@
 	arrive()
 }
 
-// sent adds up what the routers have sent: in all, the most of one, and by part.
+// sent returns the number of bytes sent by the routers: in total, the most by one router, and by part of the datagram.
 func (f *fleet) sent() (all, most int64, parts map[string]int64) {
 	parts = map[string]int64{}
 	for _, n := range f.nodes {
@@ -350,8 +345,8 @@
 	return all, most, parts
 }
 
-// run measures what one router spends at a size.
-func (s slope) run() {
+// run measures the cost of a router at a size.
+func (s fleetSize) run() {
 	const length = 5 * time.Second
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -379,13 +374,13 @@
 	runtime.KeepAlive(f)
 }
 
-// BenchmarkSlopes measures what a router spends against the size of the fleet.
-// Processor time and memory include the test's own link and load.
+// BenchmarkSlopes measures the cost of a router by the size of the fleet. Processor time and memory include the test's
+// link and load.
 func BenchmarkSlopes(b *testing.B) {
 	for range b.N {
 		fmt.Printf("%7s %8s %10s %8s %7s | %8s %8s %8s %9s | %7s %7s %7s %7s %7s\n", "routers", "accounts", "backlogged",
 			"backends", "req/s", "B/s", "B/s max", "MB", "core %", "report", "grants", "up", "down", "heads")
-		sizes := []slope{
+		sizes := []fleetSize{
 			{9, 10, 10, 2, 2}, {18, 10, 10, 2, 2}, {40, 10, 10, 2, 2}, {80, 10, 10, 2, 2}, {160, 10, 10, 2, 2}, {520, 10, 10, 2, 2},
 			{40, 10, 10, 1, 2}, {40, 10, 10, 4, 2}, {40, 10, 10, 8, 2}, {40, 10, 10, 15, 2},
 			{40, 40, 10, 2, 2}, {40, 160, 10, 2, 2}, {40, 570, 10, 2, 2},
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -14,10 +14,9 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// The fleet runs several cores against one another under virtual time, over a
-// link in memory that delays, loses, reorders and cuts as the test says. The
-// backend servers are counters: each request runs for as long as its length in
-// tokens takes.
+// fleet runs several cores in virtual time, connected by an in-memory link on which a test can delay, lose and reorder
+// datagrams and partition the routers. The backend servers are counters: a request runs for the time that its output
+// tokens take.
 
 // node is one router of the fleet.
 type node struct {
@@ -25,22 +24,22 @@
 	hall string
 	core *Core
 	boot uint64
-	// processor is its part of a core, as the VM list and the router itself tell it.
+	// processor is its share of a CPU core, as announced by the VM list and the router itself.
 	processor float64
 	down      bool
 	paused    bool
-	held      []func() // what happened while paused
+	held      []func() // events that arrived while paused
 	wakeAt    model.Time
-	moves     int // how often it has started at another address
+	moves     int // number of restarts at another address
 	bytes     int64
 	sent      int64
 	parts     map[string]int64 // bytes by part of the datagram
 }
 
-// address returns where the router listens: its name, until it moves.
+// address returns the router's address: its name, with one ' for each move.
 func (n *node) address() string { return n.name + strings.Repeat("'", n.moves) }
 
-// count adds up what each part of a datagram takes.
+// count adds the sizes of a datagram's parts to the router's totals.
 func (n *node) count(d *wire.Datagram) {
 	if n.parts == nil {
 		n.parts = map[string]int64{}
@@ -70,7 +69,7 @@
 	n.parts["heads"] += rest
 }
 
-// job is a request as the test knows it.
+// job is the test's state of a request.
 type job struct {
 	id       RequestID
 	account  model.AccountID
@@ -108,30 +107,30 @@
 	engines map[model.BackendID]*engine
 	jobs    map[RequestID]*job
 	nextID  RequestID
-	delay   time.Duration // one way, doubled at the most by chance
+	delay   time.Duration // minimum one-way delay; a random part of up to as much is added
 	loss    float64
 	cut     func(a, b *node) bool
-	// storeShut tells whether a router doesn't reach the store, nil where all do.
-	storeShut func(*node) bool
-	contacts  int     // calls of the store that only ask whether it answers
-	rate      float64 // tokens a second of one stream
-	steps     int64
-	onFinish  func(*job)
-	onRefuse  func(*job)
+	// storeUnreachable reports whether a router can't reach the store; nil if all can.
+	storeUnreachable func(*node) bool
+	contacts         int     // number of ContactStore calls
+	rate             float64 // tokens a second of one stream
+	steps            int64
+	onFinish         func(*job)
+	onRefuse         func(*job)
 	// service is the true service of each account in tokens, unweighted.
 	service map[model.AccountID]float64
 	// dispatched is called with each request that is sent to a backend server.
 	dispatched func(*job)
-	// onOverdue is called with what a router tells of reports that don't arrive.
+	// onOverdue is called with each action LoadsOverdue of a router.
 	onOverdue func(*node, LoadsOverdue)
-	// tamper may change or drop a datagram on its way.
+	// tamper may change or drop a datagram in transit.
 	tamper func(*wire.Datagram) *wire.Datagram
 }
 
 const (
-	fleetTick     = 100 * time.Millisecond
-	progressEvery = 250 * time.Millisecond
-	loadEvery     = 500 * time.Millisecond
+	fleetTick        = 100 * time.Millisecond
+	progressInterval = 250 * time.Millisecond
+	loadInterval     = 500 * time.Millisecond
 )
 
 func newFleet(seed uint64, config *Config, halls []string) *fleet {
@@ -156,7 +155,7 @@
 	for _, n := range f.nodes {
 		f.start(n)
 	}
-	f.after(loadEvery, f.reportLoad)
+	f.after(loadInterval, f.reportLoad)
 	return f
 }
 
@@ -164,12 +163,12 @@
 	f.time.After(d, do)
 }
 
-// runUntil lets virtual time pass.
+// runUntil advances the virtual time.
 func (f *fleet) runUntil(t model.Time) {
 	f.time.Run(t)
 }
 
-// start starts a router with no memory.
+// start starts a router without any state.
 func (f *fleet) start(n *node) {
 	n.boot = f.random.Uint64() | 1
 	n.down = false
@@ -184,7 +183,7 @@
 	f.step(n, Routers{Listed: listed})
 }
 
-// kill ends a router; its running requests end with it.
+// kill ends a router and its requests.
 func (f *fleet) kill(n *node) {
 	n.down = true
 	for _, id := range sortedKeys(f.jobs) {
@@ -249,8 +248,8 @@
 	case ContactStore:
 		f.contacts++
 		f.after(f.delay, func() {
-			shut := f.storeShut != nil && f.storeShut(n)
-			f.step(n, StoreContacted{Reached: !shut})
+			unreachable := f.storeUnreachable != nil && f.storeUnreachable(n)
+			f.step(n, StoreContacted{Reached: !unreachable})
 		})
 	}
 }
@@ -267,7 +266,7 @@
 	}
 }
 
-// wireOverhead is what IP, UDP and the authentication add to a datagram.
+// wireOverhead is the number of bytes that IP, UDP and the authentication add to a datagram.
 const wireOverhead = 28 + 16
 
 func (f *fleet) send(n *node, a Send) {
@@ -319,10 +318,10 @@
 	f.flow(j)
 }
 
-// flow lets a running request produce tokens until it ends.
+// flow produces the tokens of a running request until it ends.
 func (f *fleet) flow(j *job) {
 	left := j.output - j.progress
-	slice := progressEvery
+	slice := progressInterval
 	if whole := time.Duration(left / f.rate * float64(time.Second)); whole < slice {
 		slice = whole
 	}
@@ -359,7 +358,7 @@
 	}
 }
 
-// reportLoad tells the owners the engines' load, half a period old.
+// reportLoad sends the engines' load, half an interval old, to their owners.
 func (f *fleet) reportLoad() {
 	loads := map[model.BackendID]Load{}
 	for _, id := range sortedKeys(f.engines) {
@@ -369,17 +368,17 @@
 			Backend: id, Running: min(e.running, slots), Waiting: max(e.running-slots, 0), Leaving: e.leaving,
 		}
 	}
-	f.after(loadEvery/2, func() {
+	f.after(loadInterval/2, func() {
 		for _, n := range f.nodes {
 			for _, id := range n.core.watched {
 				f.step(n, loads[id])
 			}
 		}
 	})
-	f.after(loadEvery, f.reportLoad)
+	f.after(loadInterval, f.reportLoad)
 }
 
-// waiting returns the waiting requests of an account over the fleet.
+// waiting returns the number of waiting requests of an account in the fleet.
 func (f *fleet) waiting(account model.AccountID) int {
 	count := 0
 	for _, j := range f.jobs {
--- a/core/fuzz_test.go
+++ b/core/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// FuzzReceive gives a core whatever a peer may send, authentic but senseless.
+// FuzzReceive passes a core arbitrary datagrams, as a peer with a valid key but faulty contents may send them.
 func FuzzReceive(f *testing.F) {
 	pool := uint32(model.Pool(assistant))
 	seeds := []*wire.Datagram{
--- a/core/gap_test.go
+++ b/core/gap_test.go
@@ -8,25 +8,24 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// gapMeter follows the gap in service between accounts while both have had
-// work waiting without a break: the difference of what each was given since
-// the later of the two began to wait.
+// gapMeter measures the gap in service between accounts that have both had waiting requests without interruption: the
+// difference between the service of each since the later of the two began to wait.
 type gapMeter struct {
-	fleet *fleet
-	began map[model.AccountID]start
-	worst float64
-	sum   float64
-	count int
+	fleet     *fleet
+	baselines map[model.AccountID]baseline
+	worst     float64
+	sum       float64
+	count     int
 }
 
-// start is when an account began to wait, and what all had been given by then.
-type start struct {
+// baseline is when an account began to wait, and the service of all accounts at that time.
+type baseline struct {
 	at      model.Time
 	service map[model.AccountID]float64
 }
 
 func newGapMeter(f *fleet) *gapMeter {
-	return &gapMeter{fleet: f, began: map[model.AccountID]start{}}
+	return &gapMeter{fleet: f, baselines: map[model.AccountID]baseline{}}
 }
 
 // weighted returns an account's service divided by its weight.
@@ -34,7 +33,7 @@
 	return m.fleet.service[id] / m.fleet.config.Accounts[id].Weight
 }
 
-// sample takes the gap as it is now.
+// sample measures the current gap.
 func (m *gapMeter) sample() float64 {
 	waiting := map[model.AccountID]bool{}
 	for _, j := range m.fleet.jobs {
@@ -44,11 +43,11 @@
 	}
 	for _, id := range sortedKeys(m.fleet.config.Accounts) {
 		if !waiting[id] {
-			delete(m.began, id)
+			delete(m.baselines, id)
 			continue
 		}
-		if _, ok := m.began[id]; !ok {
-			m.began[id] = start{at: m.fleet.time.Now(), service: m.snapshot()}
+		if _, ok := m.baselines[id]; !ok {
+			m.baselines[id] = baseline{at: m.fleet.time.Now(), service: m.snapshot()}
 		}
 	}
 	gap := m.widest()
@@ -58,14 +57,14 @@
 	return gap
 }
 
-// follow samples the gap from now on.
+// follow samples the gap at regular intervals from now on.
 func (m *gapMeter) follow() {
 	m.sample()
-	m.fleet.after(gapEvery, m.follow)
+	m.fleet.after(gapInterval, m.follow)
 }
 
-// gapEvery is how often a gap that is followed is sampled.
-const gapEvery = 100 * time.Millisecond
+// gapInterval is the sampling interval of follow.
+const gapInterval = 100 * time.Millisecond
 
 func (m *gapMeter) snapshot() map[model.AccountID]float64 {
 	out := map[model.AccountID]float64{}
@@ -76,13 +75,13 @@
 }
 
 func (m *gapMeter) widest() float64 {
-	ids := sortedKeys(maps.Clone(m.began))
+	ids := sortedKeys(maps.Clone(m.baselines))
 	widest := 0.0
 	for i, a := range ids {
 		for _, b := range ids[i+1:] {
-			later := m.began[a]
-			if m.began[b].at > later.at {
-				later = m.began[b]
+			later := m.baselines[a]
+			if m.baselines[b].at > later.at {
+				later = m.baselines[b]
 			}
 			d := m.weighted(a) - later.service[a] - m.weighted(b) + later.service[b]
 			widest = max(widest, math.Abs(d))
--- a/core/property_test.go
+++ b/core/property_test.go
@@ -20,8 +20,7 @@
 	mostInput = 50
 )
 
-// Property: without faults the gap between accounts that wait stays within the
-// bound, at every moment.
+// Property: without faults, the gap between waiting accounts is within the bound at all times.
 func TestGapIsBounded(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -36,8 +35,8 @@
 	})
 }
 
-// Property: once faults are over, the gap that builds up from then on is within
-// the bound, however the faults left the routers.
+// Property: the gap that builds up after the end of faults is within the bound, whatever state the faults left the
+// routers in.
 func TestGapIsBoundedAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -54,9 +53,9 @@
 	})
 }
 
-// Property: what a cut let some accounts get ahead by is made good once it has
-// healed, as each side's service is counted.
-func TestCutIsMadeGood(t *testing.T) {
+// Property: a lead that some accounts gained during a network partition is compensated after it, as the service on each
+// side is counted.
+func TestGapClosesAfterPartition(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -73,10 +72,9 @@
 	})
 }
 
-// Property: no account that waits goes without a dispatch for long, faults or
-// not, once the longest fault is over.
-func TestNobodyStarves(t *testing.T) {
-	const patience = 45 * time.Second
+// Property: a waiting account doesn't go without a dispatch for longer than the longest fault and some time to recover.
+func TestNoAccountStarves(t *testing.T) {
+	const maxWait = 45 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
 		r.troubles()
@@ -84,20 +82,19 @@
 			r.calm(6 * time.Second)
 			for i, id := range r.accounts {
 				since := r.fleet.time.Now() - r.served[id]
-				if r.fleet.waiting(id) > 0 && since > patience {
-					t.Fatalf("account %d waits since %v", i+1, since)
+				if r.fleet.waiting(id) > 0 && since > maxWait {
+					t.Fatalf("account %d has waited %v for a dispatch", i+1, since)
 				}
 			}
 		}
 	})
 }
 
-// Property: while work waits, no slot stays free for longer than a round trip
-// and the pace of reports take, at a rate of requests for which the budget of
-// control bytes is enough. Each datagram that is lost in a row may cost
-// grantExpiry, or as much until the next report; four in a row are allowed for.
+// Property: while requests wait, no slot stays free for longer than a round trip and the interval of reports, at a rate
+// of requests for which the byte budget of reports is sufficient. Each datagram lost in succession may add grantExpiry,
+// or as much until the next report; four in succession are allowed for.
 func TestNoSlotIdlesWhileWorkWaits(t *testing.T) {
-	const inARow = 4
+	const successive = 4
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
 		r.shortest = 100
@@ -105,7 +102,7 @@
 		r.calm(10 * time.Second)
 		allowed := 10*r.fleet.delay + 20*time.Millisecond
 		if r.fleet.loss > 0 {
-			allowed += inARow * grantExpiry
+			allowed += successive * grantExpiry
 		}
 		idleSince := r.fleet.time.Now()
 		for range 5000 {
@@ -114,15 +111,14 @@
 				idleSince = r.fleet.time.Now()
 			}
 			if idle := r.fleet.time.Now() - idleSince; idle > allowed {
-				t.Fatalf("%d of %d slots are used, for %v", r.running(), smallSlots, idle)
+				t.Fatalf("%d of %d slots in use for %v", r.running(), smallSlots, idle)
 			}
 		}
 	})
 }
 
-// Property: every token is charged once, to the account it was given to, at the
-// router that received the request; and without kills the fleet's amounts grow
-// by just that.
+// Property: every token is charged once, to the account that received it, at the request's ingress router. If no router
+// is killed, the fleet's total increases by the same amount.
 func TestServiceIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -141,16 +137,16 @@
 			}
 			want := r.fleet.service[id] / r.fleet.config.Accounts[id].Weight
 			if math.Abs(own-want) > 2 {
-				t.Fatalf("account %d was given %.1f and charged %.1f", i+1, want, own)
+				t.Fatalf("account %d received %.1f tokens and was charged %.1f", i+1, want, own)
 			}
 		}
 	})
 }
 
-// Property: two owners of a backend server, as during a cut, do no harm but to
-// fairness: every request ends once, and each owner stays within the slots. A
-// third may own it for a moment, as not all routers hear of a cut at once.
-func TestTwoOwnersAreHarmless(t *testing.T) {
+// Property: two owners of a backend server, as during a network partition, affect only fairness: every request ends
+// once, and each owner stays within the slots. There may briefly be a third owner, as not all routers detect a
+// partition at the same time.
+func TestTwoOwnersStayWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
 		r.calm(2 * time.Second)
@@ -174,8 +170,8 @@
 	})
 }
 
-// Property: the routers settle on one ledger once faults are over: what they
-// hold of an account differs by no more than what is given while word travels.
+// Property: the routers' ledgers converge after the end of faults: their values for an account differ by no more than
+// the service given while an update propagates.
 func TestLedgersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -196,8 +192,8 @@
 	})
 }
 
-// What the accounts were given outlives all routers being replaced one by one.
-func TestLedgerOutlivesReplacements(t *testing.T) {
+// The accounts' service in the ledger survives the replacement of all routers one by one.
+func TestLedgerSurvivesReplacements(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(1, todaysConfig(fleetfair.Policy), todaysHalls)
@@ -214,17 +210,16 @@
 		f.runUntil(f.time.Now() + 8*time.Second)
 		known := f.nodes[0].core.ledger.Virtual(key).Tokens()
 		t.Logf("%s replaced: account has %.0f, ledger %.0f", n.name, f.service[id], known)
-		is.True(known > before-capacityTokens) // but for what died unsent
+		is.True(known > before-capacityTokens) // except for what the killed router hadn't sent yet
 	}
 }
 
-// capacityTokens is what nine runners give in three seconds: as much may not be
-// counted where a router dies.
+// capacityTokens is the output of nine runners in three seconds, which may be missing in the ledger after a router's
+// death.
 const capacityTokens = 3 * 72 * 50
 
-// A fleet that starts at once says less than twice as much, while no router has a ledger
-// yet, as it does later.
-func TestStartIsQuiet(t *testing.T) {
+// Routers that start at the same time send less than twice as many datagrams while none has a ledger yet as later.
+func TestStartSendsFewDatagrams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, todaysConfig(fleetfair.Policy), todaysHalls)
 	f.runUntil(2 * time.Second)
@@ -240,26 +235,25 @@
 	}
 }
 
-// A datagram whose parts don't fit together is no harm.
-func TestOddDatagrams(t *testing.T) {
+// A datagram with inconsistent parts has no effect on the requests.
+func TestInconsistentDatagrams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, smallConfig(), []string{"a", "b"})
 	f.runUntil(time.Second)
 	n := f.nodes[0]
-	odd := &wire.Datagram{
+	inconsistent := &wire.Datagram{
 		From: "router-2", To: n.name, Boot: 7,
 		Up:     &wire.Up{Columns: []*wire.Column{{Accounts: []uint32{1, 2}, Given: []int64{1}}}},
 		Grants: []*wire.Grant{{Sequence: 1, Backend: 99}},
 		Report: &wire.Report{Sequence: 1, Holds: []*wire.Hold{{Backend: 99, Running: 1 << 30}}},
 	}
-	f.step(n, Receive{Datagram: odd})
+	f.step(n, Receive{Datagram: inconsistent})
 	f.runUntil(3 * time.Second)
 	is.True(n.core.Idle())
 }
 
-// A load report that is late shows a request that has just ended; it isn't
-// taken for foreign work.
-func TestLateLoadIsNotForeign(t *testing.T) {
+// A late load report still includes a request that has just ended, which isn't counted as foreign.
+func TestLateLoadReportIsNotForeign(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, smallConfig(), []string{"a"})
 	n := f.nodes[0]
@@ -275,5 +269,5 @@
 	f.end(ended)
 	f.step(n, Load{Backend: ended.backend, Running: 4}) // as it was before the end
 	f.submit(n, account, model.Pool(assistant), model.Batch, 1, 1e6, time.Hour)
-	is.Equal(len(n.core.waiting), 0) // the slot that came free is used at once
+	is.Equal(len(n.core.waiting), 0) // the freed slot is used immediately
 }
--- a/core/share_test.go
+++ b/core/share_test.go
@@ -14,12 +14,12 @@
 	"github.com/tamarindstep/tamarindstep/policy/fleetfair"
 )
 
-// todaysHalls are the data halls of today's nine routers.
+// todaysHalls are the data halls of a fleet of nine routers.
 var todaysHalls = []string{"a", "a", "a", "b", "b", "b", "c", "c", "c"}
 
 const assistant = "assistant"
 
-// todaysConfig has nine runners of eight slots and ten accounts.
+// todaysConfig returns a configuration of nine runners with eight slots each and ten accounts.
 func todaysConfig(p *policy.Policy) *Config {
 	config := &Config{
 		Generation: 1,
@@ -48,16 +48,16 @@
 	return out
 }
 
-// closedLoad keeps a number of requests of an account in the fleet, spread
-// unevenly over the routers.
+// closedLoad is a closed-loop load of one account: it keeps a constant number of requests in the fleet, spread unevenly
+// over the routers.
 type closedLoad struct {
 	fleet   *fleet
 	random  *rand.Rand
 	account model.AccountID
-	routers []int // indices, with repetition for more of the load
+	routers []int // indices; a repeated one gets more of the load
 	batch   float64
 	mean    float64 // of the output, tokens
-	spread  float64 // sigma of its logarithm
+	spread  float64 // standard deviation of its logarithm
 }
 
 func (l *closedLoad) output() float64 {
@@ -86,7 +86,7 @@
 			fleet: f, random: rand.New(rand.NewPCG(seed, uint64(i)+100)), account: model.Account(name),
 			batch: 1, mean: 300, spread: 1,
 		}
-		// The first accounts are large and sit at all routers; the others at one or two.
+		// The first accounts are large and use all routers; the others use one or two.
 		for r := range len(f.nodes) {
 			if i < 3 || r == i%len(f.nodes) || r == (i*4)%len(f.nodes) {
 				l.routers = append(l.routers, r)
@@ -101,8 +101,7 @@
 	f.onRefuse = f.onFinish
 }
 
-// gap returns the difference between the most and the least service since the
-// amounts given, in tokens.
+// gap returns the difference between the greatest and the least service since the given amounts, in tokens.
 func (f *fleet) gap(since map[model.AccountID]float64) float64 {
 	least, most := math.Inf(1), math.Inf(-1)
 	for id := range f.config.Accounts {
