--- a/core/incarnation_test.go
+++ b/core/incarnation_test.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// restarted returns the configuration with another run of a backend server.
+// restarted returns the configuration with another incarnation of a backend server.
 func restarted(config *Config, name string, before, after uint64) *Config {
 	next := *config
 	next.Catalog++
@@ -27,9 +27,9 @@
 	return &next
 }
 
-// TestARunKnowsNothingOfTheOneBefore guards against prompts being taken for read by a backend server that has started again
-// under its name.
-func TestARunKnowsNothingOfTheOneBefore(t *testing.T) {
+// TestRestartedBackendServerHasNoCachedPrompts guards against prompts being considered cached by a backend server that
+// has been restarted under the same name.
+func TestRestartedBackendServerHasNoCachedPrompts(t *testing.T) {
 	is := is.New(t)
 	config := todaysConfig(promptaffinity.Policy)
 	only := sortedKeys(config.Backends)[0]
@@ -38,7 +38,7 @@
 	c := New(0, member.Member{Name: "router-1", Boot: 1}, 1)
 	account := model.Account(accountNames(1)[0])
 	last := RequestID(0)
-	unread := func(now model.Time) int {
+	unreadTokens := func(now model.Time) int {
 		last++
 		arrive := Arrive{
 			ID: last, Account: account, Pool: one.Backends[only].Pool, Wait: time.Second,
@@ -54,59 +54,59 @@
 		return -1
 	}
 	c.Step(0, Configure{Config: &one})
-	is.Equal(unread(time.Second), 1000)
-	is.Equal(unread(10*time.Second), 0)
+	is.Equal(unreadTokens(time.Second), 1000)
+	is.Equal(unreadTokens(10*time.Second), 0)
 	next := restarted(&one, one.Backends[only].Name, 0, 50)
 	c.Step(20*time.Second, Configure{Config: next})
-	is.Equal(unread(21*time.Second), 1000)
-	is.Equal(unread(30*time.Second), 0)
+	is.Equal(unreadTokens(21*time.Second), 1000)
+	is.Equal(unreadTokens(30*time.Second), 0)
 	c.Step(40*time.Second, Configure{Config: restarted(next, one.Backends[only].Name, 50, 40)}) // its clock was set back
-	is.Equal(unread(41*time.Second), 1000)
+	is.Equal(unreadTokens(41*time.Second), 1000)
 }
 
-// TestLateReportsOfARunDontCountForTheNext lets a router that hasn't heard of a restart send to the run before, and tell
-// the others: none reckons it to the new run.
-func TestLateReportsOfARunDontCountForTheNext(t *testing.T) {
+// TestLateReportsDontCountForNextIncarnation makes a router that hasn't received a restart send to the earlier
+// incarnation and report that to the others: none may count it for the new one.
+func TestLateReportsDontCountForNextIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 60_000)
-	late := f.nodes[3]
-	before := f.sendOne(late)
+	outdated := f.nodes[3]
+	before := f.sendOne(outdated)
 	name := f.config.Backends[before].Name
 	f.runUntil(f.time.Now() + time.Second)
-	is.Equal(f.knowing(before), 9)
+	is.Equal(f.routersWithLoad(before), 9)
 	next := restarted(f.config, name, 0, 50)
 	after := model.Incarnation{Name: name, Born: 50}.Backend()
 	for _, n := range f.nodes {
-		if n != late {
+		if n != outdated {
 			f.step(n, Configure{Config: next})
 		}
 	}
 	f.runUntil(f.time.Now() + 2*time.Second)
-	is.Equal(f.knowing(after), 0)
-	is.Equal(f.knowing(before), 1) // at the one that hasn't heard
+	is.Equal(f.routersWithLoad(after), 0)
+	is.Equal(f.routersWithLoad(before), 1) // at the router with the earlier configuration
 	for range 20 {
-		f.sendOne(late)
+		f.sendOne(outdated)
 	}
 	f.runUntil(f.time.Now() + 2*time.Second)
-	is.Equal(f.knowing(after), 0)
-	f.step(late, Configure{Config: next})
-	is.Equal(f.knowing(before), 0)
+	is.Equal(f.routersWithLoad(after), 0)
+	f.step(outdated, Configure{Config: next})
+	is.Equal(f.routersWithLoad(before), 0)
 }
 
-func TestOperatorsAreShownWhichRunItIs(t *testing.T) {
+func TestStatusShowsIncarnation(t *testing.T) {
 	is := is.New(t)
 	config := todaysConfig(fleetfair.Policy)
 	name := config.Backends[sortedKeys(config.Backends)[0]].Name
 	f := newFleet(1, restarted(config, name, 0, 50), todaysHalls)
 	f.runUntil(3 * time.Second)
-	shown := map[string]uint64{}
+	born := map[string]uint64{}
 	for _, n := range f.nodes {
 		out := &wire.StatusResponse{}
 		n.core.View(out)
 		for _, b := range out.Backends {
-			shown[b.Name] = b.BornMs
+			born[b.Name] = b.BornMs
 		}
 	}
-	is.Equal(len(shown), len(config.Backends))
-	is.Equal(shown[name], uint64(50))
+	is.Equal(len(born), len(config.Backends))
+	is.Equal(born[name], uint64(50))
 }
--- a/core/loadqueue.go
+++ b/core/loadqueue.go
@@ -8,56 +8,55 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// maxPartsTold is how many parts of prompts a message of several that waited names at most:
-// they are hints, and the newest are worth the most.
-const maxPartsTold = 64
+// maxMergedParts is the maximum number of prompt parts in a merged message. Parts are hints, and the newest are the
+// most useful.
+const maxMergedParts = 64
 
-// loadQueue holds the messages that a relay is to pass on, in the order in which it passes
-// them on. What a router tells while its message before still waits is put into that one:
-// however few bytes there are, no more waits than a message of each router, and what a receiver
-// is told is as old as one turn of all routers takes. Messages that wait by themselves grow old
-// without bound once more is told than the bytes allow: at 59 routers with 9,000 bytes a second
-// routers knew 0.70 of what an account had begun two seconds later, and know all of it now
-// (TestAmountsDontGrowOldWithinTheirBytes); at 295 with 100,000, on a day of the heaviest load, the
-// requests answered in time were worth 0.332 of what they could be, and 0.485 now.
+// loadQueue holds the messages that a relay is to forward, in order. A message is merged into the one of the same
+// router that still waits, so that at most one message of each router waits however low the byte rate is, and what a
+// receiver gets is no older than one pass over all routers. Without merging, the queue and the age of its messages grow
+// without bound once more is reported than the byte rate allows: with 59 routers at 9,000 bytes a second, routers had
+// received 0.70 of an account's begun amount two seconds later, and receive all of it with merging
+// (TestAmountsStayCurrentWithinByteRate). With 295 routers at 100,000 bytes a second under the heaviest load, the
+// value of the requests answered in time was 0.332 of the possible value without merging, and 0.485 with it.
 type loadQueue struct {
-	waiting []*queuedLoads
-	last    map[uint32]*queuedLoads // that waits, by router
+	waiting      []*queuedLoads
+	lastByRouter map[uint32]*queuedLoads // the last queued message of each router
 }
 
-// queuedLoads is a message that waits.
+// queuedLoads is a queued message.
 type queuedLoads struct {
-	loads *wire.Loads
-	own   bool // nobody else holds the message
+	loads     *wire.Loads
+	exclusive bool // loads is a private copy that may be modified
 }
 
-func newLoadQueue() loadQueue { return loadQueue{last: map[uint32]*queuedLoads{}} }
+func newLoadQueue() loadQueue { return loadQueue{lastByRouter: map[uint32]*queuedLoads{}} }
 
 func (q *loadQueue) len() int { return len(q.waiting) }
 
-// add lets a message wait. It is newer than those of its router before.
+// add queues a message, which must be newer than the earlier ones of its router.
 func (q *loadQueue) add(in *wire.Loads) {
-	before := q.last[in.Router]
-	if before == nil || before.loads.Process != in.Process || !evenLists(before.loads) || !evenLists(in) {
-		q.last[in.Router] = &queuedLoads{loads: in}
-		q.waiting = append(q.waiting, q.last[in.Router])
+	before := q.lastByRouter[in.Router]
+	if before == nil || before.loads.Process != in.Process || !alignedLists(before.loads) || !alignedLists(in) {
+		q.lastByRouter[in.Router] = &queuedLoads{loads: in}
+		q.waiting = append(q.waiting, q.lastByRouter[in.Router])
 		return
 	}
-	if !before.own {
+	if !before.exclusive {
 		before.loads = proto.Clone(before.loads).(*wire.Loads)
-		before.own = true
+		before.exclusive = true
 	}
-	join(before.loads, in)
+	mergeLoads(before.loads, in)
 }
 
-// take takes messages of so many bytes together from the front, one at least.
+// take removes messages from the front until their sizes add up to the given number of bytes, at least one.
 func (q *loadQueue) take(bytes int) []*wire.Loads {
 	var out []*wire.Loads
 	for len(q.waiting) > 0 && (len(out) == 0 || bytes > 0) {
 		first := q.waiting[0]
 		q.waiting = q.waiting[1:]
-		if q.last[first.loads.Router] == first {
-			delete(q.last, first.loads.Router)
+		if q.lastByRouter[first.loads.Router] == first {
+			delete(q.lastByRouter, first.loads.Router)
 		}
 		bytes -= proto.Size(first.loads)
 		out = append(out, first.loads)
@@ -65,18 +64,18 @@
 	return out
 }
 
-// evenLists tells whether the lists of a message that run side by side are equally long.
-func evenLists(in *wire.Loads) bool {
+// alignedLists reports whether the parallel lists of a message have equal lengths.
+func alignedLists(in *wire.Loads) bool {
 	backends := len(in.Backends) == len(in.Sent) && len(in.Backends) == len(in.Running)
 	accounts := len(in.Accounts) == len(in.Asked) && len(in.Accounts) == len(in.Begun)
 	return backends && accounts && len(in.PlacedOn) == len(in.Parts)
 }
 
-// join puts a router's message into the one before it: increments add up, and of what is told as
-// it is, the newer stands.
-func join(into, newer *wire.Loads) {
+// mergeLoads merges a router's message into its earlier one. Increments are added, and absolute values are replaced by
+// the newer ones.
+func mergeLoads(into, newer *wire.Loads) {
 	into.Sequence = newer.Sequence
-	joinHears(into, newer)
+	mergeSenders(into, newer)
 	for i, id := range newer.Backends {
 		at := slices.Index(into.Backends, id)
 		if at < 0 {
@@ -100,8 +99,8 @@
 		into.Begun[at] += newer.Begun[i]
 	}
 	into.Suspicions = append(into.Suspicions, newer.Suspicions...)
-	into.PlacedOn = lastOf(append(into.PlacedOn, newer.PlacedOn...), maxPartsTold)
-	into.Parts = lastOf(append(into.Parts, newer.Parts...), maxPartsTold)
+	into.PlacedOn = lastOf(append(into.PlacedOn, newer.PlacedOn...), maxMergedParts)
+	into.Parts = lastOf(append(into.Parts, newer.Parts...), maxMergedParts)
 }
 
 // lastOf returns the last n elements.
--- a/core/loadqueue_test.go
+++ b/core/loadqueue_test.go
@@ -9,19 +9,19 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// toldOf is what a receiver adds up of the messages that it is given.
-type toldOf struct {
+// receiverTotals is what a receiver accumulates from the messages that it receives.
+type receiverTotals struct {
 	sent    map[uint32]uint64
 	running map[uint32]uint32
 	begun   map[uint32]int64
 	last    uint64
 }
 
-func newToldOf() *toldOf {
-	return &toldOf{sent: map[uint32]uint64{}, running: map[uint32]uint32{}, begun: map[uint32]int64{}}
+func newReceiverTotals() *receiverTotals {
+	return &receiverTotals{sent: map[uint32]uint64{}, running: map[uint32]uint32{}, begun: map[uint32]int64{}}
 }
 
-func (r *toldOf) take(in *wire.Loads) {
+func (r *receiverTotals) take(in *wire.Loads) {
 	for i, id := range in.Backends {
 		r.sent[id] += in.Sent[i]
 		r.running[id] = in.Running[i]
@@ -49,29 +49,28 @@
 	return out
 }
 
-// TestWaitingMessagesSayTheSameTogether lets messages of a few routers wait for as long as drawn:
-// what a receiver adds up is the same as if it had got each by itself, and no more than one of
-// each router waits.
-func TestWaitingMessagesSayTheSameTogether(t *testing.T) {
+// TestMergedMessagesKeepTotals queues messages of a few routers for random times. A receiver's totals must be the same
+// as if it had received each message separately, and at most one message of each router may wait.
+func TestMergedMessagesKeepTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const routers = 3
 		q := newLoadQueue()
-		alone, together := map[uint32]*toldOf{}, map[uint32]*toldOf{}
+		separate, merged := map[uint32]*receiverTotals{}, map[uint32]*receiverTotals{}
 		for router := range uint32(routers) {
-			alone[router], together[router] = newToldOf(), newToldOf()
+			separate[router], merged[router] = newReceiverTotals(), newReceiverTotals()
 		}
 		takeSome := func(bytes int) {
 			for _, in := range q.take(bytes) {
-				together[in.Router].take(in)
+				merged[in.Router].take(in)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			router := rapid.Uint32Range(0, routers-1).Draw(t, "router")
-			in := drawLoads(t, router, alone[router].last+1)
-			alone[router].take(in)
+			in := drawLoads(t, router, separate[router].last+1)
+			separate[router].take(in)
 			q.add(in)
 			if q.len() > routers {
-				t.Fatalf("%d messages wait of %d routers", q.len(), routers)
+				t.Fatalf("%d messages of %d routers wait", q.len(), routers)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "taken") == 0 {
 				takeSome(rapid.IntRange(1, 100).Draw(t, "bytes"))
@@ -79,13 +78,13 @@
 		}
 		takeSome(1 << 20)
 		is := is.New(t)
-		is.Equal(together, alone)
+		is.Equal(merged, separate)
 	})
 }
 
-// TestMessagesOfAnOldProcessStayApart lets a restarted router's first message come while the last
-// of its process before still waits, and one whose lists don't belong together.
-func TestMessagesOfAnOldProcessStayApart(t *testing.T) {
+// TestMessagesOfDifferentProcessesAreNotMerged queues the first message of a restarted router while the last one of its
+// earlier process still waits, and one whose lists have different lengths.
+func TestMessagesOfDifferentProcessesAreNotMerged(t *testing.T) {
 	is := is.New(t)
 	q := newLoadQueue()
 	q.add(&wire.Loads{Router: 1, Process: 1, Sequence: 9, Backends: []uint32{1}, Sent: []uint64{5}, Running: []uint32{1}})
--- a/core/loadreport.go
+++ b/core/loadreport.go
@@ -6,7 +6,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// encodeLoadReport puts a load report of the decisions by prompt into a message, without its sender.
+// encodeLoadReport encodes a load report of package prompt as a message, without its sender.
 func encodeLoadReport(w prompt.LoadReport) *wire.Loads {
 	out := &wire.Loads{Sequence: w.Sequence}
 	for _, l := range w.Loads {
@@ -26,8 +26,7 @@
 	return out
 }
 
-// decodeLoadReport reads a load report from a message; lists that should run side by side and differ
-// in length are left out.
+// decodeLoadReport decodes a load report from a message. Parallel lists of different lengths are left out.
 func decodeLoadReport(in *wire.Loads) prompt.LoadReport {
 	out := prompt.LoadReport{Sequence: in.Sequence}
 	if len(in.Backends) == len(in.Sent) && len(in.Backends) == len(in.Running) {
--- a/core/loads.go
+++ b/core/loads.go
@@ -13,45 +13,42 @@
 )
 
 const (
-	// loadsEvery is how often a router tells the others what it has newly got on the
-	// backend servers, where the budget allows it.
-	loadsEvery = 100 * time.Millisecond
-	// passOnEvery is how often a relay passes on what it was told. A message passes two
-	// relays, each of which holds it for half of this in the mean.
-	passOnEvery = 50 * time.Millisecond
-	// loadsRepeat is how often it is looked whether anything is to be told once more,
-	// as its last report may have been lost.
-	loadsRepeat = time.Second
-	// DefaultLoadsBytes is what each receiver is told in bytes a second unless it is set:
-	// most of the 13 KB a second that the target size leaves for control.
+	// loadReportInterval is the shortest time between two load reports of this router while its byte budget allows it.
+	loadReportInterval = 100 * time.Millisecond
+	// forwardInterval is the time between two batches that a relay forwards. A message passes two relays, each of which
+	// holds it for half of this on average.
+	forwardInterval = 50 * time.Millisecond
+	// loadReportRepeat is the delay after which a report is repeated, as the last one may have been lost.
+	loadReportRepeat = time.Second
+	// DefaultLoadsBytes is the default byte rate of the load messages sent to each receiver, in bytes a second: most of
+	// the 13 KB a second that the target fleet size leaves for control traffic.
 	DefaultLoadsBytes = 9000
-	// maxAtOnce is the size in bytes from which on a datagram takes no further messages:
-	// a UDP datagram holds 64 KB, one of which may be a router's whole report.
-	maxAtOnce = 16 << 10
+	// maxLoadsDatagramBytes is the size in bytes from which a datagram takes no further messages. A UDP datagram holds
+	// 64 KB, and a single message may be a router's whole report.
+	maxLoadsDatagramBytes = 16 << 10
 )
 
-// loadExchange is the state of telling the other routers what this one has on the
-// backend servers, and of passing on what they tell, by the plan of package relay. When
-// the budget is used up, the next messages wait, and tell more at once.
+// loadExchange is the state of sending this router's load reports to the other routers and of forwarding theirs,
+// following the plan of package relay. When the byte budget is used up, the next messages wait and are merged.
 type loadExchange struct {
-	changed   bool       // there is something to tell
-	unsettled bool       // what was told last is to be told once more
-	told      model.Time // when this router last told of itself
-	passed    model.Time // when it last passed on what others told
-	sequence  uint64
-	budget    bucket
-	names     map[uint32]string // of routers, by the hash that messages name them by
-
-	plan      relay.Plan
-	planned   bool       // the plan is of the fleet as it is known now
-	plannedAt model.Time // when it was made
-	link      relayLink
-	toAll     loadQueue             // for the other relays and the routers served here
-	toServed  loadQueue             // for the routers served here
-	callers   map[string]model.Time // that have told this router as their relay, and when
-	passers   map[string]model.Time // that have passed on to it, and when
-	presence  presence
-	asking    asking
+	changed       bool       // there are changes to report
+	repeatPending bool       // the last report is to be repeated
+	lastSent      model.Time // when this router's last report was sent
+	lastForwarded model.Time // when other routers' reports were last forwarded
+	sequence      uint64
+	budget        bucket
+	names         map[uint32]string // of routers, by the hash that identifies them in messages
+
+	plan           relay.Plan
+	planned        bool       // the plan reflects the current members
+	plannedAt      model.Time // when the plan was made
+	link           relayLink
+	toAll          loadQueue             // for the other relays and the routers served here
+	toServed       loadQueue             // for the routers served here
+	relayClients   map[string]model.Time // routers that use this one as their relay, and when they last sent to it
+	forwarders     map[string]model.Time // routers that forwarded to this one, and when they last did
+	presence       presence
+	reportRequests reportRequests
 }
 
 func newLoadExchange(bytesPerSecond float64) loadExchange {
@@ -64,54 +61,54 @@
 		toAll:    newLoadQueue(),
 		toServed: newLoadQueue(),
 
-		callers: map[string]model.Time{},
-		passers: map[string]model.Time{},
+		relayClients: map[string]model.Time{},
+		forwarders:   map[string]model.Time{},
 
-		presence: newPresence(),
-		asking:   newAsking(),
+		presence:       newPresence(),
+		reportRequests: newReportRequests(),
 	}
 }
 
-// nextLoads returns when the other routers are to be told.
+// nextLoads returns when flushLoads is due next.
 func (c *Core) nextLoads() model.Time {
 	l := &c.loads
-	next := min(l.nextOwn(), l.nextPassOn(), l.link.overdue(), l.nextPlan(), l.nextPresence())
+	next := min(l.nextOwnReport(), l.nextForward(), l.link.confirmDeadline(), l.nextPlan(), l.nextPresence())
 	if next == never {
 		return never
 	}
 	return max(next, l.budget.ready(l.budget.filled, 0))
 }
 
-// nextPlan returns when the plan is to be made anew: changes of the fleet come in bursts.
+// nextPlan returns when the plan is to be made again. Membership changes come in bursts, so the plan is made at most
+// once in loadReportInterval.
 func (l *loadExchange) nextPlan() model.Time {
 	if l.planned {
 		return never
 	}
-	return l.plannedAt + loadsEvery
+	return l.plannedAt + loadReportInterval
 }
 
-// nextOwn returns when this router is to tell of itself.
-func (l *loadExchange) nextOwn() model.Time {
-	next := l.link.quiet()
+// nextOwnReport returns when this router's next load report is due.
+func (l *loadExchange) nextOwnReport() model.Time {
+	next := l.link.nextProbe()
 	switch {
 	case l.changed:
-		next = min(next, l.told+loadsEvery)
-	case l.unsettled:
-		next = min(next, l.told+loadsRepeat)
+		next = min(next, l.lastSent+loadReportInterval)
+	case l.repeatPending:
+		next = min(next, l.lastSent+loadReportRepeat)
 	}
 	return next
 }
 
-// nextPassOn returns when it is to pass on what others have told.
-func (l *loadExchange) nextPassOn() model.Time {
+// nextForward returns when the queued reports of other routers are to be forwarded.
+func (l *loadExchange) nextForward() model.Time {
 	if l.toAll.len()+l.toServed.len() == 0 {
 		return never
 	}
-	return l.passed + passOnEvery
+	return l.lastForwarded + forwardInterval
 }
 
-// flushLoads tells the other routers what this one has newly got on the backend servers,
-// and passes on what it was told.
+// flushLoads sends this router's load report and forwards those of other routers, as far as they are due.
 func (c *Core) flushLoads() {
 	l := &c.loads
 	if c.now < c.nextLoads() {
@@ -122,17 +119,17 @@
 		return
 	}
 	c.refreshPlan()
-	c.leaveSilentRelay()
-	c.keepPresent()
-	if c.now >= l.nextOwn() {
-		c.tellOwnLoads()
+	c.replaceUnresponsiveRelay()
+	c.sendHeartbeat()
+	if c.now >= l.nextOwnReport() {
+		c.sendOwnLoads()
 	}
-	if c.now >= l.nextPassOn() {
-		c.passOn()
+	if c.now >= l.nextForward() {
+		c.forwardLoads()
 	}
 }
 
-// refreshPlan works out anew who relays for whom, where the fleet has changed.
+// refreshPlan computes which router relays for which, if the members have changed.
 func (c *Core) refreshPlan() {
 	l := &c.loads
 	if c.now < l.nextPlan() {
@@ -151,34 +148,33 @@
 	before := l.plan.Serves
 	l.plan = relay.Of(self.Name, fleet)
 	for _, name := range before {
-		l.callers[name] = c.now // until the relays that it now has know of it
+		l.relayClients[name] = c.now // until its new relays have the new plan too
 	}
 	c.chooseRelay()
 }
 
-// tellOwnLoads tells what is to be told of this router: its relay or, where it is one
-// itself, those that it passes on to.
-func (c *Core) tellOwnLoads() {
+// sendOwnLoads sends this router's load report to its relay or, if it is a relay itself, to those that it forwards to.
+func (c *Core) sendOwnLoads() {
 	l := &c.loads
 	own := c.ownLoads()
-	c.addHears(own)
+	c.addSenders(own)
 	if l.link.relay == "" {
 		l.toAll.add(own)
 		return
 	}
 	if isEmpty(own) {
-		c.introduce(l.link.relay)
+		c.announceSelf(l.link.relay)
 	}
-	l.link.told(c.now, own)
-	c.sendLoads(c.toldAsRelays(), []*wire.Loads{own}, wire.PassOn_PASS_ON_ALL)
+	l.link.recordSent(c.now, own)
+	c.sendLoads(c.reportTargets(), []*wire.Loads{own}, wire.PassOn_PASS_ON_ALL)
 }
 
-// ownLoads returns what is to be told of this router, and takes it as told.
+// ownLoads returns this router's next load report and marks it as sent.
 func (c *Core) ownLoads() *wire.Loads {
 	report, settled := c.prompt.ReportLoads()
 	c.loads.changed = false
-	c.loads.unsettled = !settled
-	c.loads.told = c.now
+	c.loads.repeatPending = !settled
+	c.loads.lastSent = c.now
 	c.loads.sequence++
 	self := c.members.Self()
 	out := encodeLoadReport(report)
@@ -189,14 +185,14 @@
 	return out
 }
 
-// passOn passes on what this router was told, and tells its own where it is a relay.
-func (c *Core) passOn() {
+// forwardLoads sends the queued messages. A relay's own reports are among them.
+func (c *Core) forwardLoads() {
 	l := &c.loads
-	l.passed = c.now
-	atOnce := min(maxAtOnce, int(l.budget.size)) // so that its silence is short where bytes are few
+	l.lastForwarded = c.now
+	atOnce := min(maxLoadsDatagramBytes, int(l.budget.size)) // limits the time between datagrams when the byte rate is low
 	toAll := l.toAll.take(atOnce)
 	toServed := l.toServed.take(atOnce - sizeOf(toAll))
-	if l.toAll.holdsNews() || l.toServed.holdsNews() {
+	if l.toAll.holdsPayload() || l.toServed.holdsPayload() {
 		toAll, toServed = withoutDigest(toAll), withoutDigest(toServed)
 	}
 	if len(toAll) > 0 {
@@ -215,24 +211,24 @@
 	return size
 }
 
-// callerKept is how long a router is served after it has last told this one as its
-// relay, or was last to be served by the plan, and how long one is told as a relay after it has
-// last passed on to this one: routers that don't hold the same view of the fleet would else
-// leave each other, and those that they serve, untold.
-const callerKept = 2 * time.Second
+// relayPeerTTL is how long a router is served after it last used this one as its relay or was last assigned to it by
+// the plan, and how long another router is treated as a relay after it last forwarded to this one. Without it, routers
+// with different views of the members would leave each other, and those that they serve, without reports.
+const relayPeerTTL = 2 * time.Second
 
-// served returns the routers that hear of the fleet through this one.
-func (c *Core) served() []string { return withRecent(c.now, c.loads.plan.Serves, c.loads.callers) }
+// served returns the routers that receive the other routers' reports from this one.
+func (c *Core) served() []string { return withRecent(c.now, c.loads.plan.Serves, c.loads.relayClients) }
 
-// relays returns the other relays: those by the plan, and those that pass on as one.
-func (c *Core) relays() []string { return withRecent(c.now, c.loads.plan.Relays, c.loads.passers) }
+// relays returns the other relays: those of the plan, and those that recently forwarded to this router.
+func (c *Core) relays() []string { return withRecent(c.now, c.loads.plan.Relays, c.loads.forwarders) }
 
-// withRecent returns names and those of the others that were seen lately; it forgets the rest.
+// withRecent returns names and those routers in seen that were seen within relayPeerTTL. It deletes the others from
+// seen.
 func withRecent(now model.Time, names []string, seen map[string]model.Time) []string {
 	out := slices.Clone(names)
 	for _, name := range sortedKeys(seen) {
 		switch {
-		case now > seen[name]+callerKept:
+		case now > seen[name]+relayPeerTTL:
 			delete(seen, name)
 		case !slices.Contains(out, name):
 			out = append(out, name)
@@ -241,27 +237,27 @@
 	return out
 }
 
-// sendLoads puts loads into the datagrams for some routers. The budget is of what each of
-// them is told.
-func (c *Core) sendLoads(names []string, loads []*wire.Loads, passOn wire.PassOn) {
+// sendLoads adds loads to the datagrams for some routers. The budget applies to what each receiver is sent, so the size
+// is charged once.
+func (c *Core) sendLoads(names []string, loads []*wire.Loads, scope wire.PassOn) {
 	if len(names) == 0 {
 		return
 	}
 	for _, name := range names {
-		c.putLoads(name, loads, passOn)
+		c.appendLoads(name, loads, scope)
 	}
 	c.loads.budget.level -= float64(datagramOverhead + sizeOf(loads))
 }
 
-// putLoads puts loads into the datagram for one router, beside the budget.
-func (c *Core) putLoads(name string, loads []*wire.Loads, passOn wire.PassOn) {
+// appendLoads adds loads to the datagram for one router without charging the budget.
+func (c *Core) appendLoads(name string, loads []*wire.Loads, scope wire.PassOn) {
 	d := c.to(name)
 	d.Loads = slices.Concat(d.Loads, loads)
-	d.LoadsTo = max(d.LoadsTo, passOn)
+	d.LoadsTo = max(d.LoadsTo, scope)
 }
 
-// memberOf returns the member whose name has a hash, nil where none is known.
-func (c *Core) memberOf(router uint32) *member.Member {
+// memberByHash returns the member whose name has the given hash, or nil if there is none.
+func (c *Core) memberByHash(router uint32) *member.Member {
 	if m := c.members.Get(c.loads.names[router]); m != nil {
 		return m
 	}
@@ -272,68 +268,68 @@
 	return c.members.Get(c.loads.names[router])
 }
 
-// takeLoads takes what another router has told, or passed on.
+// takeLoads processes the load messages that another router has sent or forwarded.
 func (c *Core) takeLoads(d *wire.Datagram) {
 	self := c.members.Self()
 	own, process := model.HashName(self.Name), uint32(self.Boot)
 	if d.LoadsTo == wire.PassOn_PASS_ON_ALL {
-		c.loads.callers[d.From] = c.now
-		c.loads.presence.heard[d.From] = c.now
-		c.noteNothingNew(d.From)
+		c.loads.relayClients[d.From] = c.now
+		c.loads.presence.lastReceived[d.From] = c.now
+		c.recordUnchanged(d.From)
 	} else {
-		c.loads.passers[d.From] = c.now
+		c.loads.forwarders[d.From] = c.now
 	}
 	if d.From == c.loads.link.relay {
-		c.loads.link.heard = c.now
+		c.loads.link.lastReceived = c.now
 	}
 	for _, in := range d.Loads {
 		c.takeSuspicions(in.Suspicions)
 		if in.Router == own && isEmpty(in) && d.From != c.loads.link.relay {
-			c.heed(d.From)
+			c.handleReportRequest(d.From)
 			continue
 		}
 		if in.Router == own {
 			c.loads.link.confirm(c.now, in, process)
 			continue
 		}
-		if !c.takeLoadReport(in) {
+		if !c.applyLoadReport(in) {
 			continue
 		}
 		if isEmpty(in) {
-			c.putLoads(d.From, []*wire.Loads{in}, wire.PassOn_PASS_ON_NOBODY)
+			c.appendLoads(d.From, []*wire.Loads{in}, wire.PassOn_PASS_ON_NOBODY)
 			continue
 		}
-		c.keepToPassOn(in, d.LoadsTo)
+		c.enqueueForward(in, d.LoadsTo)
 	}
 }
 
-// takeLoadReport takes what a router has told of itself, and tells whether it is new. One
-// of a process that has ended since, which a relay may still pass on, isn't.
-func (c *Core) takeLoadReport(in *wire.Loads) bool {
-	from := c.memberOf(in.Router)
+// applyLoadReport applies another router's load report and reports whether it was new. A report of an earlier process,
+// which a relay may still forward, is dropped.
+func (c *Core) applyLoadReport(in *wire.Loads) bool {
+	from := c.memberByHash(in.Router)
 	if from == nil {
-		c.overdue.drop(in.Router, fromUnknown)
+		c.overdue.recordDrop(in.Router, dropUnknownRouter)
 		return false
 	}
 	if from.Past != 0 && in.Process == uint32(from.Past) {
-		c.overdue.drop(in.Router, fromPast)
+		c.overdue.recordDrop(in.Router, dropEarlierProcess)
 		return false
 	}
 	if in.Process == uint32(from.Boot) {
 		c.prompt.Readmit(c.now, from.Name, in.Process)
 	}
 	if !c.prompt.TakeLoadReport(c.now, from.Name, in.Process, decodeLoadReport(in)) {
-		c.overdue.drop(in.Router, notNewer)
+		c.overdue.recordDrop(in.Router, dropNotNewer)
 		return false
 	}
 	delete(c.overdue.dropped, in.Router)
-	c.takeHears(from.Name, in)
+	c.applySenders(from.Name, in)
 	c.askDead(from.Name)
 	return true
 }
 
-// forgetLoads takes back what a router that has died or was restarted had running. Reports of
-// its new process may have come by the relays before the notice of its restart: they stand.
+// forgetLoads discards the requests that a failed or restarted router had running. Reports of its new process that
+// relays forwarded before the restart was noticed are kept.
 func (c *Core) forgetLoads(change member.Change) {
 	m := c.members.Get(change.Name)
 	if change.Restarted && m != nil && c.prompt.Knows(change.Name, uint32(m.Boot)) {
@@ -342,19 +338,19 @@
 	c.prompt.ForgetRouter(change.Name)
 }
 
-// isEmpty tells whether a message only asks for its confirmation.
+// isEmpty reports whether a message has no content, and is sent only to be confirmed.
 func isEmpty(in *wire.Loads) bool {
-	return in.HearsDigest == 0 && len(in.Hears) == 0 && !hasNews(in)
+	return in.HearsDigest == 0 && len(in.Hears) == 0 && !hasPayload(in)
 }
 
-// keepToPassOn keeps a message for those whom this router is to pass it on to.
-func (c *Core) keepToPassOn(in *wire.Loads, passOn wire.PassOn) {
+// enqueueForward queues a message for the routers that this one is to forward it to.
+func (c *Core) enqueueForward(in *wire.Loads, scope wire.PassOn) {
 	l := &c.loads
-	switch passOn {
+	switch scope {
 	case wire.PassOn_PASS_ON_ALL:
 		l.toAll.add(in)
 	case wire.PassOn_PASS_ON_SERVED:
-		if len(l.plan.Serves)+len(l.callers) > 0 {
+		if len(l.plan.Serves)+len(l.relayClients) > 0 {
 			l.toServed.add(in)
 		}
 	case wire.PassOn_PASS_ON_NOBODY:
--- a/core/loads_bench_test.go
+++ b/core/loads_bench_test.go
@@ -12,9 +12,8 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// BenchmarkLoadReports measures what routers spend on telling each other their loads and their
-// accounts' amounts, and how old a load report is when it comes, by the size of the fleet, the
-// requests a second of each router, and the bytes that it may spend.
+// BenchmarkLoadReports measures the cost of exchanging load reports and account amounts, and the age of a load report
+// on arrival, by the number of routers, the requests a second of each router, and the byte rate allowed.
 func BenchmarkLoadReports(_ *testing.B) {
 	fmt.Printf("%9s %6s %9s | %9s %9s %8s %9s\n", "routers", "req/s", "allowed", "B/s", "B/s max", "msg/s", "age ms")
 	for _, row := range []struct {
@@ -30,9 +29,9 @@
 	}
 }
 
-// reportCosts is what a run of telling has cost: bytes and messages a second of a router, and
-// the mean age of what a router knows of another, in milliseconds.
-type reportCosts struct{ mean, most, messages, age, late float64 }
+// reportCosts holds the costs of a run: bytes and messages a second of a router, and the mean age of the last reports
+// received, in milliseconds.
+type reportCosts struct{ mean, most, messages, age, p99 float64 }
 
 func measureLoadReports(routers, perSecond int, allowed float64) reportCosts {
 	const seconds = 5
@@ -69,9 +68,8 @@
 	return out
 }
 
-// BenchmarkControl measures all that routers send each other, by the size of the fleet, the requests a
-// second of each router and the bytes allowed for loads, and how old the oldest knowledge of
-// another router is.
+// BenchmarkControl measures all traffic between routers, by the number of routers, the requests a second of each router
+// and the byte rate allowed for load messages, and the age of the oldest of the last reports received.
 func BenchmarkControl(_ *testing.B) {
 	fmt.Printf("%9s %6s %9s | %9s %9s %8s %9s %9s\n", "routers", "req/s", "allowed", "B/s", "B/s max", "msg/s", "oldest ms", "99 in 100")
 	for _, row := range []struct {
@@ -82,12 +80,12 @@
 	} {
 		w := measureControl(row.routers, row.perSecond, row.allowed)
 		fmt.Printf("%9d %6d %9.0f | %9.0f %9.0f %8.1f %9.0f %9.0f\n",
-			row.routers, row.perSecond, row.allowed, w.mean, w.most, w.messages, w.age, w.late)
+			row.routers, row.perSecond, row.allowed, w.mean, w.most, w.messages, w.age, w.p99)
 	}
 }
 
 func measureControl(routers, perSecond int, allowed float64) reportCosts {
-	const seconds, looks = 3, 60
+	const seconds, samples = 3, 60
 	f := loadedFleet(routers, allowed)
 	before, sent := map[string]int64{}, int64(0)
 	for _, n := range f.nodes {
@@ -97,16 +95,16 @@
 	begin := f.time.Now()
 	names := accountNames(10)
 	var ages []time.Duration
-	asked := 0
-	for look := range looks {
-		for ; asked < (look+1)*seconds*routers*perSecond/looks; asked++ {
-			f.submitPrompt(f.nodes[asked%routers], model.Account(names[asked%len(names)]), 1000, 20)
+	submitted := 0
+	for sample := range samples {
+		for ; submitted < (sample+1)*seconds*routers*perSecond/samples; submitted++ {
+			f.submitPrompt(f.nodes[submitted%routers], model.Account(names[submitted%len(names)]), 1000, 20)
 		}
-		f.runUntil(begin + time.Duration(look+1)*seconds*time.Second/looks)
-		ages = append(ages, f.oldest()...)
+		f.runUntil(begin + time.Duration(sample+1)*seconds*time.Second/samples)
+		ages = append(ages, f.oldestReports()...)
 	}
 	slices.Sort(ages)
-	out := reportCosts{age: ages[len(ages)/2].Seconds() * 1000, late: ages[len(ages)*99/100].Seconds() * 1000}
+	out := reportCosts{age: ages[len(ages)/2].Seconds() * 1000, p99: ages[len(ages)*99/100].Seconds() * 1000}
 	for _, n := range f.nodes {
 		sent += n.sent
 		bytes := float64(n.bytes-before[n.name]) / seconds
--- a/core/notice_test.go
+++ b/core/notice_test.go
@@ -11,10 +11,10 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// sent counts requests that were sent to one backend server and to others, by one router and by all.
+// sent counts requests sent to one backend server and to others, by one router and by all.
 type sent struct{ by, all [2]int }
 
-// countSent counts from now on.
+// countSent counts the requests sent from now on.
 func (f *fleet) countSent(server model.BackendID, by *node) *sent {
 	out := &sent{}
 	f.dispatched = func(j *job) {
@@ -30,8 +30,8 @@
 	return out
 }
 
-// routerThat returns a router that owns a backend server, or one that doesn't.
-func (f *fleet) routerThat(owns bool, server model.BackendID) *node {
+// routerOwning returns a router that owns a backend server, or one that doesn't.
+func (f *fleet) routerOwning(owns bool, server model.BackendID) *node {
 	for _, n := range f.nodes {
 		if (n.core.backends[server] != nil) == owns {
 			return n
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// TestRestingServersGetNoGrants lets a backend server ask for rest, of its owner and of another router in turn, while
-// twice as many requests come as can be served. The one that was asked sends it nothing, the places that it is granted go to
-// others, and after the rest it has its share again.
+// TestRestingServersGetNoGrants makes a backend server ask for rest, first of its owner and then of another router,
+// under twice the load that can be served. The router that was asked must send it nothing and use the slots granted
+// there at other backend servers, and after the rest the backend server must get its share again.
 func TestRestingServersGetNoGrants(t *testing.T) {
 	const rest = 3 * time.Second
 	server := model.Backend("runner-1")
@@ -51,33 +51,33 @@
 			is := is.New(t)
 			f := newFleet(11, smallConfig(), []string{"a", "b", "c"})
 			f.runUntil(2 * time.Second)
-			asked := f.routerThat(owner, server)
+			asked := f.routerOwning(owner, server)
 			account := model.Account(accountNames(1)[0])
-			var come func(int)
-			come = func(i int) {
+			var submitNext func(int)
+			submitNext = func(i int) {
 				f.submit(f.nodes[i%len(f.nodes)], account, model.Pool(assistant), model.Interactive, 10, 10, time.Minute)
-				f.after(7*time.Millisecond, func() { come(i + 1) })
+				f.after(7*time.Millisecond, func() { submitNext(i + 1) })
 			}
-			come(0)
+			submitNext(0)
 			f.runUntil(4 * time.Second)
 			f.step(asked, Noticed{Backend: server, Notice: notice.Notice{Rest: rest}})
 			resting := f.countSent(server, asked)
 			f.runUntil(f.time.Now() + rest - time.Millisecond)
-			t.Logf("while it rests, sent to it and to others: %+v", *resting)
+			t.Logf("sent to the resting backend server and to others: %+v", *resting)
 			is.Equal(resting.by[0], 0)
 			is.True(resting.by[1] > 20)
-			is.True(resting.all[1] > 100) // of 40 in a second that the two others can serve
+			is.True(resting.all[1] > 100) // of 40 a second that the two others can serve
 			rested := f.countSent(server, asked)
 			f.runUntil(f.time.Now() + 2*time.Second)
-			t.Logf("in the two seconds after it: %+v", *rested)
-			is.True(rested.all[0] > 30) // of 20 in a second
+			t.Logf("sent in the two seconds after the rest: %+v", *rested)
+			is.True(rested.all[0] > 30) // of 20 a second
 		})
 	}
 }
 
-// TestWhatWaitsIsSentOnceServersHaveRested lets one request wait at a router whose only backend server rests, with
-// nothing else going on.
-func TestWhatWaitsIsSentOnceServersHaveRested(t *testing.T) {
+// TestWaitingRequestIsSentAfterRest makes one request wait at a router whose only backend server rests, without any
+// other event.
+func TestWaitingRequestIsSentAfterRest(t *testing.T) {
 	is := is.New(t)
 	server := model.Backend("runner-1")
 	config := smallConfig()
--- a/core/overdue.go
+++ b/core/overdue.go
@@ -8,134 +8,134 @@
 )
 
 const (
-	// overdueAfter is how long a live router may tell nothing until that is told to the operators.
+	// overdueAfter is how long a live router may send no load report before it is reported as overdue.
 	overdueAfter = time.Second
-	// overdueEvery is how often it is looked for such routers at the most.
-	overdueEvery = 500 * time.Millisecond
-	// maxOverdueTold is how many changes are told at a time; the number of routers overdue is
-	// always told whole.
-	maxOverdueTold = 4
+	// overdueCheckInterval is the shortest time between two checks for overdue routers.
+	overdueCheckInterval = 500 * time.Millisecond
+	// maxOverdueReported is the maximum number of LoadsOverdue actions of one check. Their field Overdue counts all
+	// overdue routers nevertheless.
+	maxOverdueReported = 4
 )
 
-// LoadsOverdue tells that a live router's load reports don't arrive, or do again. Nothing is
-// decided by it.
+// LoadsOverdue reports that load reports of a live router don't arrive, or arrive again. It is informational: no
+// decision depends on it.
 type LoadsOverdue struct {
 	Router   string
-	Again    bool          // it is heard again
-	Silent   time.Duration // since its last report or, where none came, since it is held to be alive
+	Again    bool          // reports arrive again
+	Silent   time.Duration // time since the last report or, if there was none, since the router was found alive
 	Sequence uint64        // of its last report, 0 for none
-	Relay    string        // that this router hears the others through, "" where it is a relay itself
-	Relayed  time.Duration // since that relay has last told anything
-	Dropped  int           // reports of it that came since and weren't taken
-	Because  string        // why the last of them wasn't
-	Overdue  int           // routers in all whose reports don't arrive
+	Relay    string        // the relay that forwards to this router, "" if this router is a relay itself
+	Relayed  time.Duration // time since that relay last sent anything
+	Dropped  int           // number of its reports that were dropped since
+	Because  string        // why the last of them was dropped
+	Overdue  int           // number of all routers whose reports don't arrive
 }
 
-// OverdueCounted tells of how many live routers no load reports arrive.
+// OverdueCounted reports the number of live routers whose load reports don't arrive.
 type OverdueCounted struct{ Routers int }
 
 func (LoadsOverdue) action()   {}
 func (OverdueCounted) action() {}
 
-// Why a load report isn't taken.
+// The reasons for which a load report is dropped.
 const (
-	fromUnknown = "unknown router"
-	fromPast    = "process before"
-	notNewer    = "not newer"
+	dropUnknownRouter  = "unknown router"
+	dropEarlierProcess = "process before"
+	dropNotNewer       = "not newer"
 )
 
-// droppedReports is what wasn't taken of a router since it was last heard.
+// droppedReports counts the reports of a router that were dropped since its last accepted one.
 type droppedReports struct {
-	count   int
-	because string
+	count  int
+	reason string
 }
 
-// overdue looks after live routers whose load reports don't arrive.
+// overdue is the state of the checks for live routers whose load reports don't arrive.
 type overdue struct {
-	looked  model.Time
-	alive   map[string]model.Time // since when, by router, as far as was looked
-	silent  map[string]model.Time // those overdue, and when they were heard last
-	dropped map[uint32]droppedReports
+	lastCheck  model.Time
+	alive      map[string]model.Time // when each router was first found alive
+	lastReport map[string]model.Time // when each overdue router last reported
+	dropped    map[uint32]droppedReports
 }
 
 func newOverdue() overdue {
-	return overdue{alive: map[string]model.Time{}, silent: map[string]model.Time{}, dropped: map[uint32]droppedReports{}}
+	return overdue{alive: map[string]model.Time{}, lastReport: map[string]model.Time{}, dropped: map[uint32]droppedReports{}}
 }
 
-// drop notes that a router's report wasn't taken.
-func (o *overdue) drop(router uint32, because string) {
+// recordDrop records that a router's report was dropped.
+func (o *overdue) recordDrop(router uint32, reason string) {
 	d := o.dropped[router]
-	o.dropped[router] = droppedReports{count: d.count + 1, because: because}
+	o.dropped[router] = droppedReports{count: d.count + 1, reason: reason}
 }
 
-// followOverdue tells of the live routers whose reports don't arrive.
+// followOverdue checks for live routers whose reports don't arrive, and reports changes.
 func (c *Core) followOverdue() {
 	o := &c.overdue
-	if !c.byPrompt() || c.now < o.looked+overdueEvery {
+	if !c.byPrompt() || c.now < o.lastCheck+overdueCheckInterval {
 		return
 	}
-	o.looked = c.now
+	o.lastCheck = c.now
 	if len(o.dropped) > 2*len(c.members.Names()) {
-		clear(o.dropped) // of routers that aren't known
+		clear(o.dropped) // counts of routers that aren't members
 	}
-	before := len(o.silent)
+	before := len(o.lastReport)
 	var changes []LoadsOverdue
 	for _, name := range c.members.Names() {
-		if change, ok := c.lookAtReports(name); ok {
+		if change, ok := c.checkReports(name); ok {
 			changes = append(changes, change)
 		}
 	}
 	for i, change := range changes {
-		if i == maxOverdueTold {
+		if i == maxOverdueReported {
 			break
 		}
-		change.Overdue = len(o.silent)
+		change.Overdue = len(o.lastReport)
 		c.do(change)
 	}
-	if before != len(o.silent) {
-		c.do(OverdueCounted{Routers: len(o.silent)})
+	if before != len(o.lastReport) {
+		c.do(OverdueCounted{Routers: len(o.lastReport)})
 	}
 }
 
-// lookAtReports looks whether a router's reports arrive; ok tells whether that has changed.
-func (c *Core) lookAtReports(name string) (change LoadsOverdue, ok bool) {
+// checkReports checks whether a router's reports arrive. ok is true if that has changed.
+func (c *Core) checkReports(name string) (change LoadsOverdue, ok bool) {
 	o := &c.overdue
 	if !c.members.Get(name).Alive() {
 		delete(o.alive, name)
-		delete(o.silent, name)
+		delete(o.lastReport, name)
 		delete(o.dropped, model.HashName(name))
 		return change, false
 	}
 	if _, known := o.alive[name]; !known {
 		o.alive[name] = c.now
 	}
-	heard := c.prompt.HeardOf(name)
-	at := max(heard.At, o.alive[name])
-	since, was := o.silent[name]
+	last := c.prompt.HeardOf(name)
+	at := max(last.At, o.alive[name])
+	since, was := o.lastReport[name]
 	is := c.now > at+overdueAfter
 	if is == was {
 		return change, false
 	}
-	change = c.overdueChange(name, heard)
+	change = c.overdueChange(name, last)
 	if is {
-		o.silent[name] = at
+		o.lastReport[name] = at
 		change.Silent = c.now - at
 		return change, true
 	}
-	delete(o.silent, name)
+	delete(o.lastReport, name)
 	delete(o.dropped, model.HashName(name))
 	change.Again, change.Silent = true, at-since
 	return change, true
 }
 
-func (c *Core) overdueChange(name string, heard prompt.Heard) LoadsOverdue {
+func (c *Core) overdueChange(name string, last prompt.Heard) LoadsOverdue {
 	dropped := c.overdue.dropped[model.HashName(name)]
 	out := LoadsOverdue{
-		Router: name, Sequence: heard.Sequence, Relay: c.loads.link.relay,
-		Dropped: dropped.count, Because: dropped.because,
+		Router: name, Sequence: last.Sequence, Relay: c.loads.link.relay,
+		Dropped: dropped.count, Because: dropped.reason,
 	}
 	if out.Relay != "" {
-		out.Relayed = c.now - c.loads.link.heard
+		out.Relayed = c.now - c.loads.link.lastReceived
 	}
 	return out
 }
--- a/core/overdue_test.go
+++ b/core/overdue_test.go
@@ -12,22 +12,22 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// TestOverdueReportsAreTold drops what one router tells: the others name it once each, and once more
-// when it is heard again.
-func TestOverdueReportsAreTold(t *testing.T) {
+// TestOverdueReportsAreReportedOnce drops the load reports of one router: each other router must report it as overdue
+// once, and once more when its reports arrive again.
+func TestOverdueReportsAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 100_000)
-	mute := f.nodes[3]
-	f.sendOne(mute)
+	silenced := f.nodes[3]
+	f.sendOne(silenced)
 	f.runUntil(f.time.Now() + 300*time.Millisecond)
 	f.tamper = func(d *wire.Datagram) *wire.Datagram {
-		d.Loads = slices.DeleteFunc(d.Loads, func(l *wire.Loads) bool { return l.Router == model.HashName(mute.name) })
+		d.Loads = slices.DeleteFunc(d.Loads, func(l *wire.Loads) bool { return l.Router == model.HashName(silenced.name) })
 		return d
 	}
-	told := map[bool]int{}
+	reported := map[bool]int{}
 	f.onOverdue = func(_ *node, a LoadsOverdue) {
-		if a.Router == mute.name {
-			told[a.Again]++
+		if a.Router == silenced.name {
+			reported[a.Again]++
 		}
 	}
 	sends := func(seconds int) {
@@ -39,25 +39,25 @@
 		}
 	}
 	sends(3)
-	is.Equal(told, map[bool]int{false: 8})
+	is.Equal(reported, map[bool]int{false: 8})
 	f.tamper = nil
 	sends(1)
-	is.Equal(told, map[bool]int{false: 8, true: 8})
+	is.Equal(reported, map[bool]int{false: 8, true: 8})
 }
 
-// TestSilenceCountsFromTheReturn guards against telling of half a minute's silence of a router that was held
-// for dead for a moment: what was known of it is forgotten then.
-func TestSilenceCountsFromTheReturn(t *testing.T) {
+// TestOverdueTimeCountsFromReturn guards against reporting half a minute without reports of a router that was
+// considered dead for a moment, which discards its recorded state.
+func TestOverdueTimeCountsFromReturn(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 100_000)
-	told := 0
-	f.onOverdue = func(_ *node, _ LoadsOverdue) { told++ }
+	reported := 0
+	f.onOverdue = func(_ *node, _ LoadsOverdue) { reported++ }
 	n, name := f.nodes[0], f.nodes[3].name
-	f.runUntil(f.time.Now() + 2*overdueEvery)
+	f.runUntil(f.time.Now() + 2*overdueCheckInterval)
 	n.core.memberChanged(member.Change{Name: name, Status: wire.Status_STATUS_DEAD})
-	n.core.overdue.looked = 0
+	n.core.overdue.lastCheck = 0
 	for _, a := range n.core.Step(f.time.Now(), Tick{}) {
 		f.act(n, a)
 	}
-	is.Equal(told, 0)
+	is.Equal(reported, 0)
 }
--- a/core/presence.go
+++ b/core/presence.go
@@ -12,115 +12,116 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// A router that tells nothing has nothing to tell, or can't be heard: the others must know
-// which, and soon. So a router without news shows its relay that it is there, and relays tell,
-// with their own loads, whom they hear: a digest, and the routers themselves where they have
-// changed. What those have told goes before it, so that the others know as much of a router
-// that is heard and tells nothing as of one that has just told.
+// A router that sends no reports either has nothing to report or can't be reached, and the others must soon be able to
+// distinguish these. An idle router therefore sends heartbeats to its relay, and relays include in their own load
+// reports which routers they receive directly (the senders): a digest, and the list itself when it has changed. The
+// senders' own reports are sent first, so that the state of a listed router with nothing new to report is as current as
+// that of one that has just reported.
 
 const (
-	// relayShownEvery is how often a relay tells whom it hears.
-	relayShownEvery = 150 * time.Millisecond
-	// shownEvery is how often another router shows its relay that it is there.
-	shownEvery = 200 * time.Millisecond
-	// hearsKept is how long a router counts as heard: two times that it shows itself.
-	hearsKept = 2 * shownEvery
-	// hearsRepeated is how often the routers heard are told though they are the same, as the
-	// telling before may have been lost.
-	hearsRepeated = 500 * time.Millisecond
-	// hearsPart is the part of the bytes that relays may take to tell whom they hear, and again
-	// to tell that these are the same as before.
-	hearsPart = 0.15
-	// hearsBytes is about what it takes a relay to tell that it hears the same routers as before.
-	hearsBytes = 20.0
-	// nameBytes is what it takes to tell of one router that it is heard.
-	nameBytes = 4.0
+	// relayHeartbeatInterval is how often a relay reports its senders.
+	relayHeartbeatInterval = 150 * time.Millisecond
+	// heartbeatInterval is how often another router sends a heartbeat to its relay.
+	heartbeatInterval = 200 * time.Millisecond
+	// senderTTL is how long a router counts as a sender after its last report or heartbeat: two heartbeats.
+	senderTTL = 2 * heartbeatInterval
+	// sendersRepeatInterval is how often an unchanged list of senders is sent again, as the last one may have been
+	// lost.
+	sendersRepeatInterval = 500 * time.Millisecond
+	// presenceShare is the part of the byte rate that all relays together may use to report digests, and again to
+	// repeat unchanged lists.
+	presenceShare = 0.15
+	// digestBytes is the approximate size in bytes of a relay's report of an unchanged digest.
+	digestBytes = 20.0
+	// senderBytes is the size in bytes of one router in a list of senders.
+	senderBytes = 4.0
 )
 
-// presence is the state of telling which routers are heard.
+// presence is the state of reporting which routers are alive.
 type presence struct {
-	wanted bool                  // the policy in force has a use for it
-	shown  model.Time            // when this router last showed itself to its relay
-	heard  map[string]model.Time // routers that have told this one themselves, and when
-	digest uint32                // of the routers that were last told
-	listed model.Time            // when they were
-	groups map[string]group      // by the router that hears them
+	wanted        bool                  // the policy in force uses it
+	lastHeartbeat model.Time            // when this router last sent a heartbeat to its relay
+	lastReceived  map[string]model.Time // when each router last sent to this one as its relay
+	sentDigest    uint32                // of the senders last reported
+	listSent      model.Time            // when their list was last sent
+	senderLists   map[string]senderList // by the router that reported the list
 }
 
-// group is the routers that a router has said to hear.
-type group struct {
+// senderList is the list of senders that a router has reported.
+type senderList struct {
 	digest uint32
 	names  []string
 }
 
 func newPresence() presence {
-	return presence{heard: map[string]model.Time{}, groups: map[string]group{}}
+	return presence{lastReceived: map[string]model.Time{}, senderLists: map[string]senderList{}}
 }
 
-// nextPresence returns when this router is to tell that it is there.
+// nextPresence returns when this router's next heartbeat is due.
 func (l *loadExchange) nextPresence() model.Time {
 	switch {
 	case !l.presence.wanted || len(l.plan.Relays) == 0:
 		return never
 	case l.link.relay == "":
-		return l.told + l.relayShownEvery()
+		return l.lastSent + l.relayHeartbeatInterval()
 	}
-	return max(l.told, l.presence.shown) + shownEvery
+	return max(l.lastSent, l.presence.lastHeartbeat) + heartbeatInterval
 }
 
-// relayShownEvery returns how often this router, a relay, tells whom it hears: less often
-// where all relays together would take more than their part of the bytes.
-func (l *loadExchange) relayShownEvery() time.Duration {
-	return max(relayShownEvery, l.withinPart(float64(len(l.plan.Relays)+1)*hearsBytes))
+// relayHeartbeatInterval returns how often this router, a relay, reports its senders. The interval is longer if all
+// relays together would otherwise exceed their share of the byte rate.
+func (l *loadExchange) relayHeartbeatInterval() time.Duration {
+	return max(relayHeartbeatInterval, l.presenceInterval(float64(len(l.plan.Relays)+1)*digestBytes))
 }
 
-// withinPart returns how often so many bytes may be told within a part of those allowed.
-func (l *loadExchange) withinPart(bytes float64) time.Duration {
-	return time.Duration(bytes / (hearsPart * l.budget.rate) * float64(time.Second))
+// presenceInterval returns the interval at which sending the given number of bytes stays within presenceShare of the
+// byte rate.
+func (l *loadExchange) presenceInterval(bytes float64) time.Duration {
+	return time.Duration(bytes / (presenceShare * l.budget.rate) * float64(time.Second))
 }
 
-// keepPresent tells the others that this router is there, where it has told nothing else.
-func (c *Core) keepPresent() {
+// sendHeartbeat sends a heartbeat if this router has sent nothing else.
+func (c *Core) sendHeartbeat() {
 	l := &c.loads
 	if c.now < l.nextPresence() {
 		return
 	}
-	if l.link.relay == "" || len(l.presence.heard) > 0 {
+	if l.link.relay == "" || len(l.presence.lastReceived) > 0 {
 		l.changed = true
 		return
 	}
-	l.presence.shown = c.now
-	for _, name := range c.toldAsRelays() {
+	l.presence.lastHeartbeat = c.now
+	for _, name := range c.reportTargets() {
 		c.to(name).LoadsTo = wire.PassOn_PASS_ON_ALL
 	}
 }
 
-// addHears adds to what this router tells of itself whom it hears, where it passes on for others
-// or is a relay.
-func (c *Core) addHears(own *wire.Loads) {
+// addSenders adds the senders to this router's own report, if it forwards for others or is a relay.
+func (c *Core) addSenders(own *wire.Loads) {
 	p := &c.loads.presence
 	if !p.wanted {
 		return
 	}
-	heard := c.hears(own.Router)
-	if c.loads.link.relay != "" && len(heard) == 1 {
+	senders := c.senders(own.Router)
+	if c.loads.link.relay != "" && len(senders) == 1 {
 		return
 	}
-	own.HearsDigest = digestOf(heard)
-	repeated := max(hearsRepeated, c.loads.withinPart(float64(len(c.members.Names())+1)*nameBytes))
-	if own.HearsDigest != p.digest || c.now >= p.listed+repeated {
-		own.Hears = heard
-		p.digest, p.listed = own.HearsDigest, c.now
+	own.HearsDigest = digestOf(senders)
+	repeatInterval := max(sendersRepeatInterval, c.loads.presenceInterval(float64(len(c.members.Names())+1)*senderBytes))
+	if own.HearsDigest != p.sentDigest || c.now >= p.listSent+repeatInterval {
+		own.Hears = senders
+		p.sentDigest, p.listSent = own.HearsDigest, c.now
 	}
 }
 
-// hears returns the routers that this one hears itself and this one, by the hashes of their names.
-func (c *Core) hears(self uint32) []uint32 {
-	heard := c.loads.presence.heard
+// senders returns the routers that sent to this one as their relay within senderTTL, and this router, as sorted hashes
+// of their names.
+func (c *Core) senders(self uint32) []uint32 {
+	lastReceived := c.loads.presence.lastReceived
 	out := []uint32{self}
-	for _, name := range sortedKeys(heard) {
-		if c.now > heard[name]+hearsKept {
-			delete(heard, name)
+	for _, name := range sortedKeys(lastReceived) {
+		if c.now > lastReceived[name]+senderTTL {
+			delete(lastReceived, name)
 			continue
 		}
 		out = append(out, model.HashName(name))
@@ -138,22 +139,23 @@
 	return uint32(xxhash.Sum64(buffer)) | 1
 }
 
-// takeHears takes whom a router hears: what those have told it is known here.
-func (c *Core) takeHears(from string, in *wire.Loads) {
-	groups := c.loads.presence.groups
+// applySenders records the senders that a router reported. If the digest is that of its last known list, everything
+// that these senders have reported has been received here.
+func (c *Core) applySenders(from string, in *wire.Loads) {
+	lists := c.loads.presence.senderLists
 	if len(in.Hears) > 0 {
-		groups[from] = group{digest: digestOf(in.Hears), names: c.namesOf(in.Hears)}
+		lists[from] = senderList{digest: digestOf(in.Hears), names: c.namesOf(in.Hears)}
 	}
-	if in.HearsDigest == 0 || in.HearsDigest != groups[from].digest {
+	if in.HearsDigest == 0 || in.HearsDigest != lists[from].digest {
 		return
 	}
-	for _, name := range groups[from].names {
-		c.noteNothingNew(name)
+	for _, name := range lists[from].names {
+		c.recordUnchanged(name)
 	}
 }
 
-// noteNothingNew notes that a router, which was heard, has nothing to tell beyond what is known here.
-func (c *Core) noteNothingNew(name string) {
+// recordUnchanged records that a router is alive and has nothing to report beyond what was received here.
+func (c *Core) recordUnchanged(name string) {
 	m := c.members.Get(name)
 	switch {
 	case m == nil || !c.loads.presence.wanted:
@@ -164,18 +166,19 @@
 	}
 }
 
-// namesOf returns the names of the routers that are known here.
+// namesOf returns the names of those routers that are members.
 func (c *Core) namesOf(routers []uint32) []string {
 	var out []string
 	for _, r := range routers {
-		if m := c.memberOf(r); m != nil {
+		if m := c.memberByHash(r); m != nil {
 			out = append(out, m.Name)
 		}
 	}
 	return out
 }
 
-// withoutDigest leaves out that whom the tellers hear have nothing new, as news of theirs may wait.
+// withoutDigest returns the messages without their digests of senders, as queued messages may hold news of these.
+// Messages without other content are left out.
 func withoutDigest(loads []*wire.Loads) []*wire.Loads {
 	var out []*wire.Loads
 	for _, l := range loads {
@@ -190,18 +193,18 @@
 	return out
 }
 
-// holdsNews tells whether a message waits that tells more than whom its router hears.
-func (q *loadQueue) holdsNews() bool {
-	return slices.ContainsFunc(q.waiting, func(w *queuedLoads) bool { return hasNews(w.loads) })
+// holdsPayload reports whether a queued message holds more than senders.
+func (q *loadQueue) holdsPayload() bool {
+	return slices.ContainsFunc(q.waiting, func(w *queuedLoads) bool { return hasPayload(w.loads) })
 }
 
-// hasNews tells whether a message tells more than whom its router hears.
-func hasNews(in *wire.Loads) bool {
+// hasPayload reports whether a message holds more than senders.
+func hasPayload(in *wire.Loads) bool {
 	return len(in.Backends)+len(in.Parts)+len(in.Accounts)+len(in.Suspicions) > 0
 }
 
-// joinHears puts whom a router hears into its message before.
-func joinHears(into, newer *wire.Loads) {
+// mergeSenders merges a router's reported senders into its earlier message.
+func mergeSenders(into, newer *wire.Loads) {
 	if len(newer.Hears) > 0 || newer.HearsDigest != into.HearsDigest {
 		into.Hears = newer.Hears
 	}
--- a/core/relaylink.go
+++ b/core/relaylink.go
@@ -9,39 +9,37 @@
 )
 
 const (
-	// confirmWithin is how long a relay has to pass a message on, back to its sender as
-	// well: a round trip, passOnEvery, and what a busy machine is late by. It is shorter
-	// than failure detection takes, so that a dead relay costs the routers that it served
-	// a few exchanges only.
-	confirmWithin = 400 * time.Millisecond
-	// busyWithin is how long one has that is heard meanwhile: it has more to pass on than its
-	// bytes allow, and so would have the next one, which would be told all again.
-	busyWithin = 3 * time.Second
-	// quietFor is how long a router hears nothing from its relay until it tells it an empty
-	// message, only to have it confirmed.
-	quietFor = 500 * time.Millisecond
-	// silentFor is how long a relay that didn't is left alone, after which it is either
-	// known to be dead or tried again.
-	silentFor = 3 * time.Second
-	// maxUnconfirmed is how many messages are kept until they are confirmed.
+	// confirmTimeout is how long a relay may take to forward a message, which it also returns to the sender: a round
+	// trip, forwardInterval, and the scheduling delay of a busy VM. It is shorter than failure detection takes, so that
+	// a failed relay costs the routers that it served only a few exchanges.
+	confirmTimeout = 400 * time.Millisecond
+	// busyTimeout applies instead while other messages arrive from the relay. Such a relay has more to forward than its
+	// byte rate allows, as the next relay would, to which everything would have to be sent again.
+	busyTimeout = 3 * time.Second
+	// relayIdleTimeout is how long a relay may send nothing before it is sent an empty message to confirm.
+	relayIdleTimeout = 500 * time.Millisecond
+	// unresponsiveTTL is how long an unresponsive relay is avoided. After that it is either detected as failed or tried
+	// again.
+	unresponsiveTTL = 3 * time.Second
+	// maxUnconfirmed is the maximum number of messages kept until they are confirmed.
 	maxUnconfirmed = 16
 )
 
-// relayLink is an ordinary router's link to the relay that it tells.
+// relayLink is the link of a router that is no relay to the relay that it reports to.
 type relayLink struct {
-	relay       string        // "" where this router is a relay itself
-	unconfirmed []*wire.Loads // told, and not yet passed on as far as known
-	since       model.Time    // when the first of them was told, or one before it was confirmed
-	heard       model.Time    // when the relay has last told anything
-	silent      map[string]model.Time
+	relay        string                // "" if this router is a relay itself
+	unconfirmed  []*wire.Loads         // sent, and not yet confirmed as forwarded
+	since        model.Time            // when the first of them was sent, or the last confirmation arrived
+	lastReceived model.Time            // when the relay last sent anything
+	unresponsive map[string]model.Time // relays to avoid, and until when
 }
 
 func newRelayLink() relayLink {
-	return relayLink{silent: map[string]model.Time{}}
+	return relayLink{unresponsive: map[string]model.Time{}}
 }
 
-// told notes a message that the relay is to confirm.
-func (l *relayLink) told(now model.Time, message *wire.Loads) {
+// recordSent records a message that the relay is to confirm.
+func (l *relayLink) recordSent(now model.Time, message *wire.Loads) {
 	if len(l.unconfirmed) == 0 {
 		l.since = now
 	}
@@ -51,8 +49,8 @@
 	}
 }
 
-// confirm takes that a message of this router has been passed on. One that was lost on
-// the way to the relay isn't told again once a later one came through.
+// confirm records that a message of this router has been forwarded. It confirms the earlier ones too: one that was lost
+// on the way to the relay isn't sent again once a later one has been forwarded.
 func (l *relayLink) confirm(now model.Time, message *wire.Loads, process uint32) {
 	if message.Process != process {
 		return
@@ -63,47 +61,47 @@
 	})
 }
 
-// overdue returns when the relay counts as silent.
-func (l *relayLink) overdue() model.Time {
+// confirmDeadline returns when the relay counts as unresponsive.
+func (l *relayLink) confirmDeadline() model.Time {
 	if l.relay == "" || len(l.unconfirmed) == 0 {
 		return never
 	}
-	return max(l.since+confirmWithin, min(l.heard+confirmWithin, l.since+busyWithin))
+	return max(l.since+confirmTimeout, min(l.lastReceived+confirmTimeout, l.since+busyTimeout))
 }
 
-// quiet returns when the relay is to be asked for a sign of life.
-func (l *relayLink) quiet() model.Time {
+// nextProbe returns when the relay is to be sent an empty message to confirm.
+func (l *relayLink) nextProbe() model.Time {
 	if l.relay == "" || len(l.unconfirmed) > 0 {
 		return never
 	}
-	return l.heard + quietFor
+	return l.lastReceived + relayIdleTimeout
 }
 
-// leaveSilentRelay turns to the next relay where this router's has passed nothing on for
-// too long, and tells that one what was lost.
-func (c *Core) leaveSilentRelay() {
+// replaceUnresponsiveRelay switches to the next relay if the current one has confirmed nothing in time, and sends it
+// the unconfirmed messages.
+func (c *Core) replaceUnresponsiveRelay() {
 	link := &c.loads.link
-	if c.now < link.overdue() {
+	if c.now < link.confirmDeadline() {
 		return
 	}
 	if !c.members.MayJudge(c.now) {
-		link.since = c.now // what it has passed on may wait to be read here
+		link.since = c.now // confirmations may be waiting to be read here
 		return
 	}
-	link.silent[link.relay] = c.now + silentFor
+	link.unresponsive[link.relay] = c.now + unresponsiveTTL
 	link.since = c.now
 	c.chooseRelay()
 }
 
-// chooseRelay chooses whom this router tells: the first relay that isn't silent, and the
-// first of all where every one is.
+// chooseRelay selects the relay that this router reports to: the first one that isn't unresponsive, or the first of all
+// if all are.
 func (c *Core) chooseRelay() {
 	l := &c.loads
 	before := l.link.relay
 	l.link.relay = l.plan.Relay
 	if l.plan.Relay != "" {
 		for _, name := range l.plan.Relays {
-			if c.now >= l.link.silent[name] {
+			if c.now >= l.link.unresponsive[name] {
 				l.link.relay = name
 				break
 			}
@@ -112,26 +110,26 @@
 	if l.link.relay == before {
 		return
 	}
-	l.link.since, l.link.heard = c.now, c.now
+	l.link.since, l.link.lastReceived = c.now, c.now
 	c.do(RelayChanged{From: before, To: l.link.relay, Unconfirmed: len(l.link.unconfirmed)})
-	lost := l.link.unconfirmed
+	unconfirmed := l.link.unconfirmed
 	switch {
 	case l.link.relay == "":
-		for _, message := range lost {
+		for _, message := range unconfirmed {
 			l.toAll.add(message)
 		}
 		l.link.unconfirmed = nil
-	case len(lost) > 0:
-		c.sendLoads([]string{l.link.relay}, lost, wire.PassOn_PASS_ON_ALL)
+	case len(unconfirmed) > 0:
+		c.sendLoads([]string{l.link.relay}, unconfirmed, wire.PassOn_PASS_ON_ALL)
 	default:
-		l.changed = true // so that the relay learns whom it serves
+		l.changed = true // so that the relay learns that it serves this router
 	}
-	c.introduce(l.link.relay)
+	c.announceSelf(l.link.relay)
 }
 
-// introduce tells a router of this one, which it may not know yet: it would else drop what
-// it is told.
-func (c *Core) introduce(name string) {
+// announceSelf sends this router's membership entry to another one, which would otherwise drop reports of a router that
+// isn't among its members.
+func (c *Core) announceSelf(name string) {
 	if name != "" {
 		c.to(name).Rumours = c.members.Rumours(name)
 	}
--- a/core/report.go
+++ b/core/report.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	// reportGap is the shortest time between two reports to one owner.
-	reportGap = 2 * time.Millisecond
-	// softDelay is how long a change that no owner waits for may wait.
-	softDelay = 400 * time.Millisecond
-	// ackDelay is how long an owner may be left without word of its grants.
+	// minReportInterval is the shortest time between two reports to one owner.
+	minReportInterval = 2 * time.Millisecond
+	// deferrableDelay is the maximum delay of reporting a change that no owner waits for.
+	deferrableDelay = 400 * time.Millisecond
+	// ackDelay is the maximum delay of the acknowledgement of grants.
 	ackDelay = 100 * time.Millisecond
-	// urgentRepeat is when a report that an owner waits for is sent once more, in
-	// case it was lost.
-	urgentRepeat = 60 * time.Millisecond
-	// reportRefresh is how often a report that says anything is repeated.
-	reportRefresh = 500 * time.Millisecond
-	// reportBytesPerSecond paces the reports of one router to all owners.
+	// urgentRepeatDelay is the delay after which a report that an owner waits for is sent once more, in case it was
+	// lost.
+	urgentRepeatDelay = 60 * time.Millisecond
+	// refreshInterval is how often a report with content is repeated.
+	refreshInterval = 500 * time.Millisecond
+	// reportBytesPerSecond is the byte rate of one router's reports to all owners.
 	reportBytesPerSecond = 6000
-	// datagramOverhead is what a datagram costs beside its parts, in bytes.
+	// datagramOverhead is the size of a datagram besides its parts, in bytes.
 	datagramOverhead = 90
-	// askFor is how long the one owner asked first has to grant.
-	askFor = 10 * time.Millisecond
-	// shallow is the number of waiting requests up to which each counts at once.
-	shallow = 2
+	// soleAskTimeout is how long an owner that is asked alone may take to grant.
+	soleAskTimeout = 10 * time.Millisecond
+	// shallowQueue is the length of a queue up to which an added request is reported at once.
+	shallowQueue = 2
 )
 
 // ownerLink is this router's link to an owner.
 type ownerLink struct {
-	boot     uint64 // of the process that the sequence seen belongs to
-	seen     uint64 // highest grant sequence seen
+	boot     uint64 // of the process that sent the grants up to seen
+	seen     uint64 // highest grant sequence received
 	sequence uint64 // of the last report
 	sent     model.Time
 	due      model.Time // when the next report is due; never for none
-	spoke    bool       // the last report said anything
+	nonEmpty bool       // the last report had content
 	urgent   bool       // an owner waits for the report that is due
-	full     bool       // the report that is due must tell what waits
+	full     bool       // the report that is due must include the demands
 }
 
-// ask is the one owner that is asked first for a pool's slots.
+// ask is the state of asking one owner alone for a pool's slots.
 type ask struct {
-	hints map[string]int // slots each owner could grant, as last heard
-	owner string         // asked alone, "" where all are told
-	until model.Time
+	grantable map[string]int // slots that each owner could grant, as last reported
+	owner     string         // asked alone, "" if all are sent the demand
+	until     model.Time
 }
 
-// bucket paces a flow of bytes.
+// bucket is a token bucket that limits a flow of bytes.
 type bucket struct {
 	rate, size, level float64
 	filled            model.Time
@@ -62,7 +62,7 @@
 	b.filled = now
 }
 
-// ready returns when the level is above the given one.
+// ready returns when the level exceeds the given one.
 func (b *bucket) ready(now model.Time, above float64) model.Time {
 	if b.level > above {
 		return now
@@ -73,15 +73,15 @@
 func (c *Core) askOf(pool model.PoolID) *ask {
 	a := c.asks[pool]
 	if a == nil {
-		a = &ask{hints: map[string]int{}}
+		a = &ask{grantable: map[string]int{}}
 		c.asks[pool] = a
 	}
 	return a
 }
 
-// hint takes an owner's word on the slots of a pool that it could grant.
+// hint records how many slots of a pool an owner reported it could grant.
 func (c *Core) hint(owner string, pool model.PoolID, slots int) {
-	c.askOf(pool).hints[owner] = slots
+	c.askOf(pool).grantable[owner] = slots
 }
 
 func (c *Core) linkTo(owner string) *ownerLink {
@@ -93,59 +93,59 @@
 	return l
 }
 
-// demandDue makes a report of what waits due within the delay.
-func (c *Core) demandDue(owner string, delay time.Duration) {
-	c.reportDue(owner, delay)
+// scheduleDemand schedules a report that includes the demands, at the latest after delay.
+func (c *Core) scheduleDemand(owner string, delay time.Duration) {
+	c.scheduleReport(owner, delay)
 	if l := c.owners[owner]; l != nil {
 		l.full = true
 	}
 }
 
-// reportDue makes a report to an owner due within the delay.
-func (c *Core) reportDue(owner string, delay time.Duration) {
+// scheduleReport schedules a report to an owner, at the latest after delay.
+func (c *Core) scheduleReport(owner string, delay time.Duration) {
 	if owner == "" || owner == c.members.Self().Name {
 		return
 	}
 	l := c.linkTo(owner)
 	earliest := c.now + delay
 	if l.sequence > 0 {
-		earliest = max(earliest, l.sent+reportGap)
+		earliest = max(earliest, l.sent+minReportInterval)
 	}
 	l.due = min(l.due, earliest)
 	l.urgent = l.urgent || delay == 0
 }
 
-// allReportsDue tells the owners anew, after a change of who owns what; those to
-// whom there is nothing to say are left alone.
+// allReportsDue schedules reports to all owners after a change of ownership, except where the report would be empty as
+// the last one was.
 func (c *Core) allReportsDue() {
 	for _, owner := range sortedKeys(c.placement.ownedBy) {
 		l := c.owners[owner]
-		if l != nil && l.spoke || len(c.holds(owner)) > 0 || len(c.demandsFor(owner)) > 0 {
-			c.demandDue(owner, 0)
+		if l != nil && l.nonEmpty || len(c.holds(owner)) > 0 || len(c.demandsFor(owner)) > 0 {
+			c.scheduleDemand(owner, 0)
 		}
 	}
 }
 
-// demandGrew tells the owners that may serve a request that it waits.
+// demandGrew reports a request that was added to a queue to the owners that may grant it a slot.
 func (c *Core) demandGrew(key model.Key, q *queue) {
 	c.noteBusy(key, q)
 	c.offerSelf(key, q)
-	delay := softDelay
-	if q.length() <= shallow {
+	delay := deferrableDelay
+	if q.length() <= shallowQueue {
 		delay = 0
 	}
 	if c.waitingIn(key.Pool) == 1 {
 		c.chooseAsk(key.Pool)
 	}
 	for _, owner := range c.placement.reportTo[key.Pool] {
-		if c.asks[key.Pool].tells(c.now, owner) {
-			c.demandDue(owner, delay)
+		if c.asks[key.Pool].includes(c.now, owner) {
+			c.scheduleDemand(owner, delay)
 		}
 	}
 }
 
-// tells tells whether what waits in the pool is reported to that owner.
-func (a *ask) tells(now model.Time, owner string) bool {
+// includes reports whether the demand for the pool is sent to that owner.
+func (a *ask) includes(now model.Time, owner string) bool {
 	return a == nil || a.owner == "" || a.owner == owner || now >= a.until
 }
 
@@ -160,60 +160,59 @@
 	return sum
 }
 
-// chooseAsk picks the owner to ask alone for the only request that waits, where
-// one is known to have a free slot: telling all of them would bring a grant from
-// each.
+// chooseAsk selects the owner that is asked alone for the only waiting request, if one has reported a free slot.
+// Sending the demand to all owners would bring a grant from each.
 func (c *Core) chooseAsk(pool model.PoolID) {
 	a := c.askOf(pool)
 	a.owner = ""
 	most := 0
 	for _, owner := range c.placement.reportTo[pool] {
-		if n := a.hints[owner]; n > most && owner != c.members.Self().Name {
+		if n := a.grantable[owner]; n > most && owner != c.members.Self().Name {
 			a.owner, most = owner, n
 		}
 	}
 	if a.owner != "" {
-		a.hints[a.owner]--
-		a.until = c.now + askFor
+		a.grantable[a.owner]--
+		a.until = c.now + soleAskTimeout
 	}
 }
 
-// demandShrank lets the owners know, at leisure, that less waits.
+// demandShrank reports a shorter queue to the owners, after deferrableDelay.
 func (c *Core) demandShrank(key model.Key, q *queue) {
 	c.noteBusy(key, q)
 	c.offerSelf(key, q)
 	for _, owner := range c.placement.reportTo[key.Pool] {
-		if c.asks[key.Pool].tells(c.now, owner) {
-			c.demandDue(owner, softDelay)
+		if c.asks[key.Pool].includes(c.now, owner) {
+			c.scheduleDemand(owner, deferrableDelay)
 		}
 	}
 }
 
-// noteBusy records in the ledger what the account has waiting and running.
+// noteBusy records in the ledger whether the client account has requests waiting, and how many are running.
 func (c *Core) noteBusy(key model.Key, q *queue) {
 	c.trackWaiting(key, q)
 	c.ledger.SetBusy(c.now, key, q.length() > 0, q.running)
 }
 
-// slotFreed tells the owner of a backend server that a request there has ended.
+// slotFreed reports to the owner of a backend server that a request there has ended.
 func (c *Core) slotFreed(id model.BackendID) {
 	owner := c.placement.owner[id]
 	if owner == c.members.Self().Name {
 		c.backendDirty(id)
 		return
 	}
-	c.reportDue(owner, 0)
+	c.scheduleReport(owner, 0)
 }
 
-// flushReports sends the reports that are due, as far as the budget allows: the
-// ones an owner waits for first, and of these the one that is due the longest.
+// flushReports sends the reports that are due, as far as the budget allows: those an owner waits for first, and among
+// equals the one that has been due longest.
 func (c *Core) flushReports() {
-	c.endAsks()
+	c.expireAsks()
 	c.budget.fill(c.now)
 	var due []string
 	for owner, l := range c.owners {
-		if l.spoke {
-			if refresh := l.sent + reportRefresh; refresh < l.due {
+		if l.nonEmpty {
+			if refresh := l.sent + refreshInterval; refresh < l.due {
 				l.due = refresh
 				l.full = true
 			}
@@ -237,7 +236,7 @@
 	}
 }
 
-// rank orders what is urgent before what isn't.
+// rank orders urgent reports before others.
 func rank(urgent bool) int {
 	if urgent {
 		return 0
@@ -245,8 +244,8 @@
 	return 1
 }
 
-// reserve is the part of the budget that a report must leave: half of it is
-// kept for those an owner waits for.
+// reserve is the level of the budget that a report must leave: half of the budget is reserved for reports that an owner
+// waits for.
 func (c *Core) reserve(l *ownerLink) float64 {
 	if l.urgent {
 		return 0
@@ -254,8 +253,8 @@
 	return c.budget.size / 2
 }
 
-// endAsks tells all owners where the one asked first hasn't granted in time.
-func (c *Core) endAsks() {
+// expireAsks sends the demand to all owners if the one asked alone hasn't granted in time.
+func (c *Core) expireAsks() {
 	for _, pool := range sortedKeys(c.asks) {
 		a := c.asks[pool]
 		if a.owner == "" || c.now < a.until {
@@ -266,7 +265,7 @@
 			continue
 		}
 		for _, owner := range c.placement.reportTo[pool] {
-			c.demandDue(owner, 0)
+			c.scheduleDemand(owner, 0)
 		}
 	}
 }
@@ -276,7 +275,7 @@
 	l.sent = c.now
 	l.due = never
 	if l.urgent {
-		l.due = c.now + urgentRepeat
+		l.due = c.now + urgentRepeatDelay
 		l.urgent = false
 	}
 	report := &wire.Report{
@@ -290,7 +289,7 @@
 		report.Demands = c.demandsFor(owner)
 	}
 	l.full = false
-	l.spoke = l.spoke && report.HoldsOnly || len(report.Holds) > 0 || len(report.Demands) > 0
+	l.nonEmpty = l.nonEmpty && report.HoldsOnly || len(report.Holds) > 0 || len(report.Demands) > 0
 	c.budget.level -= float64(proto.Size(report) + datagramOverhead)
 	c.to(owner).Report = report
 }
@@ -311,7 +310,7 @@
 	var out []*wire.Demand
 	for _, key := range c.waiting {
 		q := c.queues[key]
-		if !c.asks[key.Pool].tells(c.now, owner) {
+		if !c.asks[key.Pool].includes(c.now, owner) {
 			continue
 		}
 		if !slices.Contains(c.placement.reportTo[key.Pool], owner) {
@@ -327,7 +326,7 @@
 	return out
 }
 
-// trackWaiting keeps the ordered list of the queues in which a request waits.
+// trackWaiting maintains the sorted list of non-empty queues.
 func (c *Core) trackWaiting(key model.Key, q *queue) {
 	i, found := slices.BinarySearchFunc(c.waiting, key, model.Key.Compare)
 	switch {
@@ -338,13 +337,13 @@
 	}
 }
 
-// nextReport returns when a report or the end of an ask is due.
+// nextReport returns when a report or the expiry of an ask is due.
 func (c *Core) nextReport() model.Time {
 	wake := never
 	for _, l := range c.owners {
 		due := l.due
-		if l.spoke {
-			due = min(due, l.sent+reportRefresh)
+		if l.nonEmpty {
+			due = min(due, l.sent+refreshInterval)
 		}
 		if due < never {
 			wake = min(wake, max(due, c.budget.ready(c.now, c.reserve(l))))
@@ -358,8 +357,7 @@
 	return wake
 }
 
-// takeGrants uses grants from an owner, and gives back at once, by the next
-// report, those for which nothing waits.
+// takeGrants uses an owner's grants, and returns those for which no request waits with the next report, at once.
 func (c *Core) takeGrants(owner string, boot uint64, grants []*wire.Grant) {
 	if len(grants) == 0 {
 		return
@@ -375,10 +373,10 @@
 		}
 		l.seen = g.Sequence
 		if !c.useGrant(owner, g) {
-			c.demandDue(owner, 0)
+			c.scheduleDemand(owner, 0)
 		}
 	}
-	c.reportDue(owner, ackDelay)
+	c.scheduleReport(owner, ackDelay)
 }
 
 func (c *Core) useGrant(owner string, g *wire.Grant) bool {
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// submitPrompt sends a request that is decided on by its prompt.
+// submitPrompt sends a request that is decided by its prompt.
 func (f *fleet) submitPrompt(n *node, account model.AccountID, tokens, output int) {
 	f.nextID++
 	id := f.nextID
@@ -23,11 +23,10 @@
 	})
 }
 
-// TestRestartedRouterJudgesOnlyTheWindow restarts a router that gets requests before
-// it hears of the fleet. What an account had since the fleet's start must not count
-// for the window of four seconds when it is heard: it would be refused as if it had
-// taken it all just now.
-func TestRestartedRouterJudgesOnlyTheWindow(t *testing.T) {
+// TestRestartedRouterCountsOnlyTheWindow restarts a router that gets requests before it receives the state of the
+// fleet. What an account got since the fleet's start must not count for the current window of four seconds: the account
+// would be refused as if it had used it all just now.
+func TestRestartedRouterCountsOnlyTheWindow(t *testing.T) {
 	const (
 		tokens   = 1000
 		output   = 20
@@ -61,16 +60,16 @@
 	is.True(restarted.core.prompt.Usage(account).Asked > 0.8*inWindow)
 }
 
-// TestARouterThatMovedIsKnownAtOnce guards against a fleet that goes on sending to where a router listened before it started
-// again at another address, and takes it for dead.
-func TestARouterThatMovedIsKnownAtOnce(t *testing.T) {
+// TestMovedRouterIsFoundAtOnce guards against a fleet that keeps sending to the earlier address of a router that was
+// restarted at another one, and considers it dead.
+func TestMovedRouterIsFoundAtOnce(t *testing.T) {
 	t.Parallel()
 	for _, routers := range []int{9, 59, 295} {
-		t.Run(fmt.Sprint(routers), func(t *testing.T) { moveOne(t, routers) })
+		t.Run(fmt.Sprint(routers), func(t *testing.T) { checkMovedRouter(t, routers) })
 	}
 }
 
-func moveOne(t *testing.T, routers int) {
+func checkMovedRouter(t *testing.T, routers int) {
 	is := is.New(t)
 	f := loadedFleet(routers, 9000)
 	moved := f.nodes[4]
--- a/core/run_test.go
+++ b/core/run_test.go
@@ -10,8 +10,8 @@
 	"github.com/tamarindstep/tamarindstep/policy/fleetfair"
 )
 
-// smallConfig has three runners of four slots and four accounts, one of which
-// weighs twice as much.
+// smallConfig returns a configuration of three backend servers with four slots each and four client accounts, one of
+// which has twice the weight.
 func smallConfig() *Config {
 	config := todaysConfig(fleetfair.Policy)
 	clear(config.Backends)
@@ -30,7 +30,7 @@
 	return config
 }
 
-// run is one drawn run: routers, a link, load, and what goes wrong when.
+// run is one random run: its routers, network, load and faults.
 type run struct {
 	t        *rapid.T
 	fleet    *fleet
@@ -39,8 +39,8 @@
 	served   map[model.AccountID]model.Time // last dispatch
 	ended    map[RequestID]int
 	load     bool
-	longest  int // most output of a request, in tokens
-	shortest int // least
+	longest  int // maximum output of a request, in tokens
+	shortest int // minimum output of a request, in tokens
 }
 
 func newRun(t *rapid.T) *run {
@@ -75,9 +75,8 @@
 	return r
 }
 
-// submit sends a request of an account to one of its routers: the first account
-// uses all, the others one or two. The last account's requests are the longest,
-// and it has by far the most of them.
+// submit sends a request of an account to one of its routers: the first account uses all, the others one or two. The
+// last account's requests are the longest, and it has by far the most of them.
 func (r *run) submit(id model.AccountID) {
 	n := len(r.fleet.nodes)
 	at := int(id) % n
@@ -102,7 +101,7 @@
 	r.fleet.submit(r.fleet.nodes[at], id, model.Pool(assistant), class, input, output, time.Hour)
 }
 
-// troubles lets things go wrong for a while, and puts everything right again.
+// troubles injects random faults one after the other, and ends each of them.
 func (r *run) troubles() {
 	for i := range rapid.IntRange(1, 4).Draw(r.t, "troubles") {
 		kind := rapid.SampledFrom([]string{"cut", "restart", "pause", "loss"}).Draw(r.t, fmt.Sprint("trouble", i))
@@ -136,7 +135,7 @@
 	r.refill()
 }
 
-// refill makes up for the requests that a killed router took with it.
+// refill replaces the requests that were lost with a killed router.
 func (r *run) refill() {
 	for _, id := range r.accounts {
 		for r.fleet.waiting(id) < 10 {
@@ -147,12 +146,11 @@
 
 func (r *run) calm(d time.Duration) { r.fleet.runUntil(r.fleet.time.Now() + d) }
 
-// gapBound is the bound on the gap between accounts of weight 1, in tokens, that
-// docs/DESIGN.md derives, for the small configuration. The slots include those by
-// which interactive work may exceed a backend server's.
+// gapBound is the bound on the gap between accounts of weight 1, in tokens, that docs/DESIGN.md derives, for the small
+// configuration. The slots include those by which interactive requests may exceed a backend server's.
 func (r *run) gapBound() float64 {
 	const slots = smallSlots + smallRunners*max(smallSlots/smallRunners/interactiveShare, 1)
-	loop := 1.0 // seconds until service is known everywhere, with losses
+	loop := 1.0 // seconds until service is recorded everywhere, with losses
 	capacity := slots * r.fleet.rate
 	largest := float64(r.longest + mostInput)
 	return slots*(largest+fleetfair.Policy.LookAhead) + 2*capacity*loop
@@ -166,7 +164,7 @@
 	return sum
 }
 
-// drainAll lets all requests end.
+// drainAll runs until all requests have ended.
 func (r *run) drainAll() {
 	for range 600 {
 		r.calm(time.Second)
--- a/core/suspicions.go
+++ b/core/suspicions.go
@@ -10,30 +10,32 @@
 )
 
 const (
-	// suspicionsEvery is how often a router that knows something else is told at the most.
-	suspicionsEvery = time.Second
-	// maxSuspicionsTold is how many suspicions it is told at once: some 50 bytes each.
-	maxSuspicionsTold = 64
+	// suspicionsInterval is the shortest time between two messages with known suspicions to a router whose digest
+	// differs.
+	suspicionsInterval = time.Second
+	// maxSuspicionsSent is the maximum number of suspicions in such a message, at some 50 bytes each.
+	maxSuspicionsSent = 64
 )
 
-// suspicions is the state of holding back requests under which backend servers end.
+// suspicions is the state of holding back requests during which backend servers end.
 type suspicions struct {
 	book     *suspect.Book
-	version  uint64 // of the book, as last looked at
+	version  uint64 // of the book, when it was last read
 	accounts []model.AccountID
 	held     map[model.Fingerprint]bool
-	failed   map[model.Fingerprint]int // tries, of those that are held back
-	told     map[string]model.Time     // by router, that knew something else
+	failed   map[model.Fingerprint]int // failed tries of the requests that are held back
+	lastSent map[string]model.Time     // when suspicions were last sent, by router
 
-	asks   bool                 // a try is asked for
-	asking map[RequestID]Arrive // that wait for the answer
+	grantRequired bool                 // a try must be granted first, see AskTry
+	asking        map[RequestID]Arrive // requests that wait for a TryAnswered
 }
 
 func newSuspicions(salt uint64) suspicions {
-	return suspicions{book: suspect.New(salt), held: map[model.Fingerprint]bool{}, told: map[string]model.Time{}, asking: map[RequestID]Arrive{}}
+	return suspicions{book: suspect.New(salt), held: map[model.Fingerprint]bool{}, lastSent: map[string]model.Time{}, asking: map[RequestID]Arrive{}}
 }
 
-// holdBack refuses a request that is held back, and tells whether it did.
+// holdBack refuses a request that is held back, or requests a grant for its try. It returns false if the request is to
+// be processed further.
 func (c *Core) holdBack(e Arrive) bool {
 	if e.Fingerprint == 0 {
 		return false
@@ -44,7 +46,7 @@
 		return false
 	case !verdict.Try:
 		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: verdict.RetryAfter})
-	case c.suspicions.asks:
+	case c.suspicions.grantRequired:
 		c.suspicions.asking[e.ID] = e
 		c.do(AskTry{ID: e.ID, Fingerprint: e.Fingerprint})
 	default:
@@ -53,11 +55,11 @@
 	return true
 }
 
-// AskForTries lets each try be asked for, by an AskTry: routers whose tries are due at the same time don't hear of each
-// other's for some tenths of a second.
-func (c *Core) AskForTries() { c.suspicions.asks = true }
+// AskForTries makes each try subject to a grant that is requested by an AskTry. Without it, routers whose tries are due
+// at the same time would all try, as a try takes some tenths of a second to become known at the others.
+func (c *Core) AskForTries() { c.suspicions.grantRequired = true }
 
-// try notes that a held-back request is sent once more, and tells whether it may be.
+// try records that a held-back request is sent once more, and reports whether it may be.
 func (c *Core) try(e Arrive) bool {
 	book := c.suspicions.book
 	if !book.Try(c.now, e.Fingerprint) {
@@ -68,7 +70,7 @@
 	return true
 }
 
-// tryAnswered goes on with a request whose try was asked for.
+// tryAnswered continues with a request for whose try a grant was requested.
 func (c *Core) tryAnswered(e TryAnswered) {
 	waited, waits := c.suspicions.asking[e.ID]
 	if !waits {
@@ -84,56 +86,57 @@
 	}
 }
 
-// serverEnded notes that a backend server has ended under a request.
+// serverEnded records that a backend server has ended during a request.
 func (c *Core) serverEnded(e ServerEnded) {
 	c.suspicions.book.Ended(c.now, e.Fingerprint, e.Account, suspect.End{
 		Backend: e.Backend, At: c.now, Ran: e.Ran, Begun: e.Begun,
 	})
 }
 
-// answered notes that a request got a whole answer.
+// answered records that a request got a complete answer.
 func (c *Core) answered(e Answered) {
 	c.suspicions.book.Answered(c.now, e.Fingerprint)
 }
 
-// takeSuspicions takes what another router has told, or the store has kept.
-func (c *Core) takeSuspicions(told []*wire.Suspicion) {
-	for _, in := range told {
+// takeSuspicions merges suspicions received from another router.
+func (c *Core) takeSuspicions(received []*wire.Suspicion) {
+	for _, in := range received {
 		if s, ok := decodeSuspicion(c.now, in); ok {
 			c.suspicions.book.Take(c.now, s)
 		}
 	}
 }
 
-// restoreSuspicions takes what the store keeps.
-func (c *Core) restoreSuspicions(kept []*wire.Suspicion) {
-	for _, in := range kept {
+// restoreSuspicions merges suspicions read from the store.
+func (c *Core) restoreSuspicions(stored []*wire.Suspicion) {
+	for _, in := range stored {
 		if s, ok := decodeSuspicion(c.now, in); ok {
 			c.suspicions.book.Restore(c.now, s)
 		}
 	}
 }
 
-// compareSuspicions tells a router what is known here where it knows something else.
+// compareSuspicions sends a router the suspicions recorded here if its digest differs. Of more than maxSuspicionsSent
+// it sends a random range.
 func (c *Core) compareSuspicions(d *wire.Datagram) {
 	s := &c.suspicions
-	if d.SuspicionsDigest == s.book.Digest() || c.now < s.told[d.From]+suspicionsEvery {
+	if d.SuspicionsDigest == s.book.Digest() || c.now < s.lastSent[d.From]+suspicionsInterval {
 		return
 	}
 	known := s.book.Known()
 	if len(known) == 0 {
 		return
 	}
-	s.told[d.From] = c.now
-	if n := len(known); n > maxSuspicionsTold {
+	s.lastSent[d.From] = c.now
+	if n := len(known); n > maxSuspicionsSent {
 		at := c.random.IntN(n)
-		known = slices.Concat(known[at:], known[:at])[:maxSuspicionsTold]
+		known = slices.Concat(known[at:], known[:at])[:maxSuspicionsSent]
 	}
 	c.to(d.From).Suspicions = encodeSuspicions(c.now, known)
 }
 
-// followSuspicions tells what has changed of the requests that are held back, and of the accounts whose
-// requests are to be looked at.
+// followSuspicions reports changes of the requests that are held back, and of the client accounts whose requests are to
+// be fingerprinted.
 func (c *Core) followSuspicions() {
 	s := &c.suspicions
 	if s.book.NextTell() <= c.now {
@@ -163,7 +166,7 @@
 	s.held, s.failed = held, failed
 }
 
-// The marks of an end in a message.
+// The bits of a mark in a message.
 const (
 	markBegun = 1 << iota
 	markTry
@@ -192,13 +195,13 @@
 		}
 		out.Backends = append(out.Backends, uint32(end.Backend))
 		out.EndedMs = append(out.EndedMs, milliseconds(now-end.At))
-		out.RanUs = append(out.RanUs, uint32(min(max(end.Ran.Microseconds(), 0), longestRun.Microseconds())))
+		out.RanUs = append(out.RanUs, uint32(min(max(end.Ran.Microseconds(), 0), maxRun.Microseconds())))
 		out.Marks = append(out.Marks, marks)
 	}
 	return out
 }
 
-// decodeSuspicion reads a suspicion from a message; ok is false where it can't be one.
+// decodeSuspicion decodes a suspicion from a message. ok is false if the message is malformed.
 func decodeSuspicion(now model.Time, in *wire.Suspicion) (out suspect.Suspicion, ok bool) {
 	n := len(in.Backends)
 	if in.Fingerprint == 0 || len(in.EndedMs) != n || len(in.RanUs) != n || len(in.Marks) != n {
@@ -210,14 +213,14 @@
 	}
 	for i, backend := range in.Backends {
 		out.Ends = append(out.Ends, suspect.End{
-			Backend: model.BackendID(backend), At: now - ofMilliseconds(in.EndedMs[i]), Ran: time.Duration(in.RanUs[i]) * time.Microsecond,
+			Backend: model.BackendID(backend), At: now - fromMilliseconds(in.EndedMs[i]), Ran: time.Duration(in.RanUs[i]) * time.Microsecond,
 			Begun: in.Marks[i]&markBegun != 0, Try: in.Marks[i]&markTry != 0,
 		})
 	}
 	return out, true
 }
 
-// sinceMs returns how long ago a time was, in ms and one more, 0 for never.
+// sinceMs returns the time from at to now in milliseconds plus one, or 0 for never.
 func sinceMs(now, at model.Time) uint32 {
 	if at == suspect.Never {
 		return 0
@@ -225,24 +228,24 @@
 	return milliseconds(now-at) + 1
 }
 
-// timeBefore is the reverse of sinceMs.
+// timeBefore is the inverse of sinceMs.
 func timeBefore(now model.Time, ms uint32) model.Time {
 	if ms == 0 {
 		return suspect.Never
 	}
-	return now - ofMilliseconds(ms-1)
+	return now - fromMilliseconds(ms-1)
 }
 
-// longestRun is the longest time that a request is told to have run.
-const longestRun = time.Hour
+// maxRun limits the run time of a request in a message.
+const maxRun = time.Hour
 
-// longest is the longest time that is told, in ms: a day.
-const longest = 24 * 60 * 60 * 1000
+// maxMilliseconds limits the times in messages: a day.
+const maxMilliseconds = 24 * 60 * 60 * 1000
 
 func milliseconds(d time.Duration) uint32 {
-	return uint32(min(max(d.Milliseconds(), 0), longest))
+	return uint32(min(max(d.Milliseconds(), 0), maxMilliseconds))
 }
 
-func ofMilliseconds(ms uint32) time.Duration {
-	return time.Duration(min(ms, longest)) * time.Millisecond
+func fromMilliseconds(ms uint32) time.Duration {
+	return time.Duration(min(ms, maxMilliseconds)) * time.Millisecond
 }
--- a/core/suspicions_test.go
+++ b/core/suspicions_test.go
@@ -13,96 +13,96 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-const lethal = model.Fingerprint(0xfeed)
+const suspectRequest = model.Fingerprint(0xfeed)
 
-// endUnder lets a router see a backend server end under the request.
-func (f *fleet) endUnder(n *node, server string) {
+// endServer makes a router see a backend server end during the request.
+func (f *fleet) endServer(n *node, server string) {
 	f.step(n, ServerEnded{
-		Fingerprint: lethal, Account: model.Account(accountNames(1)[0]), Backend: model.Backend(server), Ran: 80 * time.Millisecond,
+		Fingerprint: suspectRequest, Account: model.Account(accountNames(1)[0]), Backend: model.Backend(server), Ran: 80 * time.Millisecond,
 	})
 }
 
-// holding returns how many live routers hold the request back.
-func (f *fleet) holding() int {
+// routersHolding returns the number of live routers that hold the request back.
+func (f *fleet) routersHolding() int {
 	out := 0
 	for _, n := range f.nodes {
-		if !n.down && n.core.suspicions.held[lethal] {
+		if !n.down && n.core.suspicions.held[suspectRequest] {
 			out++
 		}
 	}
 	return out
 }
 
-// TestEndsSeenAtSeveralRoutersAddUp lets two routers see one end each. All others hold the request back well
-// before the four seconds that users give a fleet to hear of it.
+// TestEndsSeenAtSeveralRoutersAddUp makes two routers see one end each. All others must hold the request back well
+// before the four seconds that a fleet is allowed for it.
 func TestEndsSeenAtSeveralRoutersAddUp(t *testing.T) {
 	t.Parallel()
 	for _, routers := range []int{2, 9, 59, 295} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			is := is.New(t)
 			f := loadedFleet(routers, 60_000)
-			f.endUnder(f.nodes[0], "run-1")
+			f.endServer(f.nodes[0], "run-1")
 			f.runUntil(f.time.Now() + time.Second)
-			is.Equal(f.holding(), 0)
-			f.endUnder(f.nodes[routers-1], "run-2")
+			is.Equal(f.routersHolding(), 0)
+			f.endServer(f.nodes[routers-1], "run-2")
 			began := f.time.Now()
-			for f.holding() < routers && f.time.Now() < began+4*time.Second {
+			for f.routersHolding() < routers && f.time.Now() < began+4*time.Second {
 				f.runUntil(f.time.Now() + 10*time.Millisecond)
 			}
 			t.Logf("all %d routers hold it back after %v", routers, f.time.Now()-began)
-			is.Equal(f.holding(), routers)
+			is.Equal(f.routersHolding(), routers)
 			is.True(f.time.Now()-began < time.Second)
-			f.step(f.nodes[routers/2], Answered{Fingerprint: lethal})
+			f.step(f.nodes[routers/2], Answered{Fingerprint: suspectRequest})
 			f.runUntil(f.time.Now() + time.Second)
-			is.Equal(f.holding(), 0)
+			is.Equal(f.routersHolding(), 0)
 		})
 	}
 }
 
-// TestRoutersThatComeBackHearWhatIsHeldBack cuts a router off and starts another anew while a request
-// is held back: both hear of it with the first datagrams.
-func TestRoutersThatComeBackHearWhatIsHeldBack(t *testing.T) {
+// TestReturningRoutersReceiveSuspicions cuts a router off and restarts another one while a request is held back: both
+// must receive the suspicion with the first datagrams.
+func TestReturningRoutersReceiveSuspicions(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 60_000)
-	alone := f.nodes[4]
-	f.cut = func(a, b *node) bool { return (a == alone) != (b == alone) }
+	isolated := f.nodes[4]
+	f.cut = func(a, b *node) bool { return (a == isolated) != (b == isolated) }
 	f.kill(f.nodes[5])
-	f.endUnder(f.nodes[0], "run-1")
-	f.endUnder(f.nodes[1], "run-2")
+	f.endServer(f.nodes[0], "run-1")
+	f.endServer(f.nodes[1], "run-2")
 	f.runUntil(f.time.Now() + 20*time.Second)
-	f.endUnder(f.nodes[1], "run-3")
+	f.endServer(f.nodes[1], "run-3")
 	f.runUntil(f.time.Now() + time.Second)
-	is.Equal(f.holding(), 7)
+	is.Equal(f.routersHolding(), 7)
 	f.cut = nil
 	f.start(f.nodes[5])
 	f.runUntil(f.time.Now() + 3*time.Second)
-	is.Equal(f.holding(), 9)
-	quiet := 0
+	is.Equal(f.routersHolding(), 9)
+	resent := 0
 	f.tamper = func(d *wire.Datagram) *wire.Datagram {
-		quiet += len(d.Suspicions)
+		resent += len(d.Suspicions)
 		return d
 	}
 	f.runUntil(f.time.Now() + 5*time.Second)
-	is.Equal(quiet, 0) // those that know the same tell each other nothing
+	is.Equal(resent, 0) // routers with equal suspicions send each other none
 }
 
-// keeping is a router that decides by itself, and what the store keeps of it.
-type keeping struct {
-	core *Core
-	kept *wire.Suspicion
+// storingRouter is a router that decides alone, and what the store contains of it.
+type storingRouter struct {
+	core   *Core
+	stored *wire.Suspicion
 }
 
-func newKeeping() *keeping {
-	return &keeping{core: New(0, member.Member{Name: "router-1", Boot: 1}, 1)}
+func newStoringRouter() *storingRouter {
+	return &storingRouter{core: New(0, member.Member{Name: "router-1", Boot: 1}, 1)}
 }
 
-// step returns what became of a request that is held back, nil for none.
-func (k *keeping) step(now model.Time, e Event) (refused *Refuse, tried bool) {
-	for _, a := range k.core.Step(now, e) {
+// step returns the outcome for a request that is held back: its refusal, nil for none, and whether it was tried.
+func (r *storingRouter) step(now model.Time, e Event) (refused *Refuse, tried bool) {
+	for _, a := range r.core.Step(now, e) {
 		switch a := a.(type) {
 		case HeldChanged:
 			if a.Seen {
-				k.kept = a.Suspicion
+				r.stored = a.Suspicion
 			}
 		case Refuse:
 			refused = &a
@@ -113,48 +113,49 @@
 	return refused, tried
 }
 
-// TestRoutersThatStartAnewKnowOfAFailedTry guards against all routers ending after a try under which a backend server ended:
-// the new ones tried again some seconds after their start, and not minutes later.
-func TestRoutersThatStartAnewKnowOfAFailedTry(t *testing.T) {
+// TestRestartedRoutersRestoreFailedTry guards against early tries after all routers were restarted following a try
+// during which a backend server ended: the new processes tried again seconds after their start instead of minutes
+// later.
+func TestRestartedRoutersRestoreFailedTry(t *testing.T) {
 	is := is.New(t)
-	before := newKeeping()
-	under := func(server string) ServerEnded {
-		return ServerEnded{Fingerprint: lethal, Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond}
+	before := newStoringRouter()
+	ended := func(server string) ServerEnded {
+		return ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond}
 	}
-	before.step(time.Second, under("run-1"))
-	before.step(2*time.Second, under("run-2"))
-	is.Equal(len(before.kept.Backends), 2)
-	_, tried := before.step(10*time.Second, Arrive{ID: 1, Account: 7, Fingerprint: lethal})
+	before.step(time.Second, ended("run-1"))
+	before.step(2*time.Second, ended("run-2"))
+	is.Equal(len(before.stored.Backends), 2)
+	_, tried := before.step(10*time.Second, Arrive{ID: 1, Account: 7, Fingerprint: suspectRequest})
 	is.True(tried)
-	before.step(10*time.Second+100*time.Millisecond, under("run-3"))
-	is.Equal(len(before.kept.Backends), 3)
+	before.step(10*time.Second+100*time.Millisecond, ended("run-3"))
+	is.Equal(len(before.stored.Backends), 3)
 
-	after := newKeeping()
-	after.step(time.Second, HeldInStore{Suspicions: []*wire.Suspicion{before.kept}})
+	after := newStoringRouter()
+	after.step(time.Second, HeldInStore{Suspicions: []*wire.Suspicion{before.stored}})
 	for now := 2 * time.Second; now < 5*time.Minute; now += time.Second {
-		refused, tried := after.step(now, Arrive{ID: 1, Account: 7, Fingerprint: lethal})
+		refused, tried := after.step(now, Arrive{ID: 1, Account: 7, Fingerprint: suspectRequest})
 		is.True(!tried && refused.Reason == HeldBack)
 	}
 }
 
-// TestAllThatTheStoreKeepsStaysHeldBack guards against requests that a router reads from the store together being taken for each
-// other's bystanders, and let go.
-func TestAllThatTheStoreKeepsStaysHeldBack(t *testing.T) {
+// TestStoredSuspicionsStayHeldBack guards against releasing requests that a router reads from the store together
+// because each is considered to be explained by the others.
+func TestStoredSuspicionsStayHeldBack(t *testing.T) {
 	is := is.New(t)
-	var kept []*wire.Suspicion
+	var stored []*wire.Suspicion
 	for f := range 5 {
-		k := newKeeping()
+		r := newStoringRouter()
 		for end := range 2 {
 			server := fmt.Sprintf("run-%d-%d", f, end)
-			k.step(time.Duration(end+1)*time.Second, ServerEnded{
+			r.step(time.Duration(end+1)*time.Second, ServerEnded{
 				Fingerprint: model.Fingerprint(f + 1), Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond,
 			})
 		}
-		kept = append(kept, k.kept)
+		stored = append(stored, r.stored)
 	}
-	after := newKeeping()
-	after.step(time.Second, HeldInStore{Suspicions: kept})
-	for f := range kept {
+	after := newStoringRouter()
+	after.step(time.Second, HeldInStore{Suspicions: stored})
+	for f := range stored {
 		refused, _ := after.step(2*time.Second, Arrive{ID: RequestID(f + 1), Account: 7, Fingerprint: model.Fingerprint(f + 1)})
 		is.True(refused != nil && refused.Reason == HeldBack)
 		is.True(refused.RetryAfter > time.Second && refused.RetryAfter < 10*time.Second)
@@ -163,40 +164,41 @@
 	is.Equal(len(after.core.suspicions.held), 4)
 }
 
-// TestTriesAreAskedFor lets a router whose try is due ask for it, and refuse what comes meanwhile.
-func TestTriesAreAskedFor(t *testing.T) {
+// TestTriesRequireGrant makes a router request a grant for a try that is due, and refuse the requests that arrive
+// meanwhile.
+func TestTriesRequireGrant(t *testing.T) {
 	is := is.New(t)
-	k := newKeeping()
-	k.core.AskForTries()
+	r := newStoringRouter()
+	r.core.AskForTries()
 	for i, server := range []string{"run-1", "run-2"} {
-		k.step(time.Duration(i+1)*time.Second, ServerEnded{Fingerprint: lethal, Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond})
+		r.step(time.Duration(i+1)*time.Second, ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond})
 	}
 	arrive := func(now model.Time, id RequestID) []Action {
-		return k.core.Step(now, Arrive{ID: id, Account: 7, Fingerprint: lethal})
+		return r.core.Step(now, Arrive{ID: id, Account: 7, Fingerprint: suspectRequest})
 	}
-	is.Equal(arrive(10*time.Second, 1), []Action{AskTry{ID: 1, Fingerprint: lethal}})
-	refused, tried := k.step(10*time.Second, Arrive{ID: 2, Account: 7, Fingerprint: lethal})
+	is.Equal(arrive(10*time.Second, 1), []Action{AskTry{ID: 1, Fingerprint: suspectRequest}})
+	refused, tried := r.step(10*time.Second, Arrive{ID: 2, Account: 7, Fingerprint: suspectRequest})
 	is.True(!tried && refused.ID == 2 && refused.Reason == HeldBack)
-	refused, tried = k.step(10*time.Second+5*time.Millisecond, TryAnswered{ID: 1})
+	refused, tried = r.step(10*time.Second+5*time.Millisecond, TryAnswered{ID: 1})
 	is.True(!tried && refused.ID == 1 && refused.RetryAfter > time.Second)
 
-	is.Equal(arrive(30*time.Second, 3), []Action{AskTry{ID: 3, Fingerprint: lethal}})
-	_, tried = k.step(30*time.Second+5*time.Millisecond, TryAnswered{ID: 3, Granted: true})
+	is.Equal(arrive(30*time.Second, 3), []Action{AskTry{ID: 3, Fingerprint: suspectRequest}})
+	_, tried = r.step(30*time.Second+5*time.Millisecond, TryAnswered{ID: 3, Granted: true})
 	is.True(tried)
 
-	is.Equal(arrive(60*time.Second, 4), []Action{AskTry{ID: 4, Fingerprint: lethal}})
-	k.step(60*time.Second, Abandon{ID: 4})
-	refused, tried = k.step(60*time.Second+5*time.Millisecond, TryAnswered{ID: 4, Granted: true})
+	is.Equal(arrive(60*time.Second, 4), []Action{AskTry{ID: 4, Fingerprint: suspectRequest}})
+	r.step(60*time.Second, Abandon{ID: 4})
+	refused, tried = r.step(60*time.Second+5*time.Millisecond, TryAnswered{ID: 4, Granted: true})
 	is.True(!tried && refused == nil) // its caller has left
 
-	is.Equal(arrive(90*time.Second, 5), []Action{AskTry{ID: 5, Fingerprint: lethal}})
-	k.step(90*time.Second+2*time.Millisecond, ServerEnded{Fingerprint: lethal, Account: 7, Backend: model.Backend("run-9"), Ran: 80 * time.Millisecond})
-	refused, tried = k.step(90*time.Second+5*time.Millisecond, TryAnswered{ID: 5, Granted: true})
-	is.True(!tried && refused.ID == 5) // a server has ended under it meanwhile
+	is.Equal(arrive(90*time.Second, 5), []Action{AskTry{ID: 5, Fingerprint: suspectRequest}})
+	r.step(90*time.Second+2*time.Millisecond, ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend("run-9"), Ran: 80 * time.Millisecond})
+	refused, tried = r.step(90*time.Second+5*time.Millisecond, TryAnswered{ID: 5, Granted: true})
+	is.True(!tried && refused.ID == 5) // a backend server has ended during it meanwhile
 }
 
-// TestSuspicionsInMessagesAreReadStrictly reads what no router of this kind writes.
-func TestSuspicionsInMessagesAreReadStrictly(t *testing.T) {
+// TestMalformedSuspicionsAreRejected decodes messages that no router sends, and a valid one.
+func TestMalformedSuspicionsAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, in := range []*wire.Suspicion{
 		{},
@@ -206,16 +208,16 @@
 		_, ok := decodeSuspicion(time.Minute, in)
 		is.True(!ok)
 	}
-	whole := &wire.Suspicion{
+	valid := &wire.Suspicion{
 		Fingerprint: 1, Account: 2, Backends: []uint32{3, 4}, EndedMs: []uint32{100, 200}, RanUs: []uint32{50, 60},
 		Marks: []uint32{markBegun, markTry}, AnsweredMs: 301, TriedMs: 0,
 	}
-	s, ok := decodeSuspicion(time.Minute, whole)
+	s, ok := decodeSuspicion(time.Minute, valid)
 	is.True(ok)
-	is.True(proto.Equal(whole, encodeSuspicion(time.Minute, s)))
+	is.True(proto.Equal(valid, encodeSuspicion(time.Minute, s)))
 }
 
-// FuzzSuspicions decodes any message, which must not panic nor hold back what it doesn't name.
+// FuzzSuspicions decodes arbitrary messages, which must neither panic nor hold back a request that isn't in them.
 func FuzzSuspicions(f *testing.F) {
 	seed, _ := proto.Marshal(&wire.Suspicion{Fingerprint: 1, Backends: []uint32{3}, EndedMs: []uint32{1}, RanUs: []uint32{9}, Marks: []uint32{1}})
 	f.Add(seed)
@@ -228,7 +230,7 @@
 		if s, ok := decodeSuspicion(time.Hour, &in); ok {
 			c.book.Take(time.Hour, s)
 		}
-		if in.Fingerprint != uint64(lethal) && c.book.Judge(time.Hour, lethal).Held {
+		if in.Fingerprint != uint64(suspectRequest) && c.book.Judge(time.Hour, suspectRequest).Held {
 			t.Fatal("another request is held back")
 		}
 	})
