--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -21,91 +21,88 @@
 )
 
 const (
-	// defaultTimeout is how long a request may take where nobody says.
+	// defaultTimeout is the time limit of a request if neither the route nor the caller sets one.
 	defaultTimeout = 60 * time.Second
-	// startRetryAfter is when a caller is asked back by a router that doesn't
-	// know its configuration yet, or is stopping.
-	startRetryAfter = 300 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of a router that has no configuration yet or is draining.
+	defaultRetryAfter = 300 * time.Millisecond
 )
 
 // attempt is one request of a caller.
 type attempt struct {
-	service *Service
-	conn    *callerConn
-	req     *fasthttp.Request
-	meta    Meta
-	route   *config.CompiledRoute
-	account model.AccountID
-	name    string // of the account
+	service     *Service
+	conn        *callerConn
+	req         *fasthttp.Request
+	meta        Meta
+	route       *config.CompiledRoute
+	account     model.AccountID
+	accountName string
 
-	refused    *refusal          // found by its header
-	shed       bool              // it is refused for what there is to do here
-	ticket     *admission.Ticket // its place among those that wait for a decision, until there is one
-	carried    *admission.Ticket // its place among those that are carried, until it has ended
-	began      time.Duration     // by the clock that counts sleep, as the deadline is
-	deadline   time.Duration
-	ctx        context.Context // ends when the caller has left, or its time is over
-	overslept  atomic.Bool     // its time was over when the machine woke
-	held       *scheduler.Request
-	sentAt     time.Time     // of the last send
-	begunAfter time.Duration // until the first part of a stream came, 0 for none yet
-	sends      int
-	lent       bool // an exchange may still write the request's body
-	ran        bool // it may have run somewhere
-	misses     int  // backend servers that couldn't be reached
-	tried      []model.BackendID
-	relay      relay
-	holds      holds
-	blame      *blame.Case
-	keep       bool // the connection may carry another request
+	refused             *refusal          // set if the request is refused by its header
+	shed                bool              // the refusal is due to overload
+	ticket              *admission.Ticket // its admission until it is scheduled
+	carried             *admission.Ticket // its admission until it has ended
+	began               time.Duration     // by the clock that includes suspended time, as is the deadline
+	deadline            time.Duration
+	ctx                 context.Context // done when the caller has left or the deadline has passed
+	expiredInSuspension atomic.Bool     // its deadline passed while the VM was suspended
+	scheduled           *scheduler.Request
+	sentAt              time.Time     // of the last send
+	firstPartAfter      time.Duration // until the first part of a stream was received, 0 for none yet
+	sends               int
+	bodyShared          bool // an exchange may still read the request's body
+	mayHaveRun          bool // it may have run on a backend server
+	sendFailures        int  // backend servers that nothing could be sent to
+	tried               []model.BackendID
+	relay               relay
+	reserved            reservation
+	blame               *blame.Case
+	keepAlive           bool // the connection may carry another request
 }
 
-// admit finds, by the header alone, what the request is and whether it is refused.
+// admit determines the route and account from the header alone and whether the request is refused.
 func (a *attempt) admit() {
 	s := a.service
 	a.began = s.clock.Now()
-	a.keep = !a.req.Header.ConnectionClose() && !s.draining.Load() && !s.crowdedOut()
+	a.keepAlive = !a.req.Header.ConnectionClose() && !s.draining.Load() && !s.connectionsScarce()
 	a.ticket, a.conn.admitted = a.conn.admitted, nil
 	a.carried = a.ticket
 	if s.overloaded() {
-		a.keep = false // the next one is turned away unread, or goes to another router
-		a.refused, a.shed = tooMany, true
+		a.keepAlive = false // the next request is rejected unread or goes to another router
+		a.refused, a.shed = tooManyRequests, true
 		return
 	}
-	a.refused = a.understand()
+	a.refused = a.resolve()
 	if a.refused == nil && a.ticket == nil {
-		a.letIn()
+		a.requestAdmission()
 	}
 }
 
-// release gives the request back where nothing may still write its body, and its place where
-// it has ended without a decision.
+// release releases the memory and tickets of the request, and recycles it unless an exchange may still use its body.
 func (a *attempt) release() {
-	a.letGo()
-	a.returnHeld()
-	if !a.lent {
+	a.releaseTickets()
+	a.releaseMemory()
+	if !a.bodyShared {
 		fasthttp.ReleaseRequest(a.req)
 	}
 }
 
-// handle serves a request that was read, and tells whether the connection may
-// carry another.
+// handle serves a request that has been read and reports whether the connection may carry another.
 func (a *attempt) handle() bool {
 	if a.refused != nil {
-		a.refuse(a.refused, startRetryAfter)
-		return a.keep
+		a.refuse(a.refused, defaultRetryAfter)
+		return a.keepAlive
 	}
 	if a.conn.hasLeft() {
 		a.log("caller-left").Msg("caller left before its request was read")
-		a.count("caller-left")
+		a.countOutcome("caller-left")
 		return false
 	}
-	a.blame = a.service.witness.Follow(a.account, a.unchanging)
+	a.blame = a.service.witness.Follow(a.account, a.fingerprintInput)
 	ctx, left := context.WithTimeout(context.Background(), a.left())
 	defer left()
 	a.ctx = ctx
-	a.service.sleepers.add(a, left)
-	defer a.service.sleepers.remove(a)
+	a.service.inFlight.add(a, left)
+	defer a.service.inFlight.remove(a)
 	gone := make(chan struct{})
 	stop := a.conn.watch(func() { close(gone); left() })
 	a.serve()
@@ -114,16 +111,16 @@
 	case <-gone:
 		return false
 	default:
-		return a.keep
+		return a.keepAlive
 	}
 }
 
-// understand finds the route and the account, and how long there is.
-func (a *attempt) understand() *refusal {
+// resolve determines the route, the account and the deadline.
+func (a *attempt) resolve() *refusal {
 	s := a.service
 	meta, err := s.settings.Dialect.Request(&a.req.Header)
 	if err != nil {
-		a.keep = false
+		a.keepAlive = false
 		return malformed
 	}
 	a.meta = meta
@@ -131,42 +128,43 @@
 	switch {
 	case inForce == nil || !s.generation.Ready():
 		return noConfig
-	case s.ending.Load():
+	case s.refusing.Load():
 		return stopping
 	}
 	path := a.req.Header.RequestURI()
 	a.route = inForce.HostRoute(string(a.req.Header.Host()), pathOf(path))
 	if a.route == nil {
-		return a.denied(unknownRoute)
+		return a.confirmRefusal(unknownRoute)
 	}
 	if !a.route.Through.Public {
 		var known bool
 		if a.account, known = inForce.AccountOf(meta.Key); !known {
-			return a.denied(unknownKey)
+			return a.confirmRefusal(unknownKey)
 		}
-		a.name = inForce.Core.Accounts[a.account].Name
+		a.accountName = inForce.Core.Accounts[a.account].Name
 	}
 	a.setDeadline()
 	return nil
 }
 
-// confirmedFor is how long what the operators had written when a router last reached the store counts as what holds now.
-// Users want a change in force in two seconds, of which half of one goes into watching and telling.
-const confirmedFor = 1500 * time.Millisecond
+// maxStoreSilence is how long the configuration counts as current after the last contact with the store. A
+// configuration change must be in force within two seconds, of which half a second is spent on the store's watch and on
+// gossip.
+const maxStoreSilence = 1500 * time.Millisecond
 
-// denied returns the refusal of a request that the configuration doesn't allow. A router that hasn't heard of the store for a
-// while can't know that it isn't allowed: it says so at its own cost, and its caller comes again, where others know. One
-// small router with a crowd before it answered 404 for three seconds after a route was in force everywhere else, as
-// neither datagrams nor calls of the store came through.
-func (a *attempt) denied(r *refusal) *refusal {
-	if a.service.scheduler.StoreUnheard() > confirmedFor {
-		a.keep = false // the next one may reach another router
-		return unconfirmed
+// confirmRefusal returns the refusal of a request that the configuration doesn't allow. A router that has had no
+// contact with the store for a while may have an outdated configuration: it returns a retryable refusal, so that the
+// caller tries again, possibly at another router. A small overloaded router otherwise answered 404 for three seconds
+// after a route was in force on all others, because neither gossip datagrams nor store calls got through.
+func (a *attempt) confirmRefusal(r *refusal) *refusal {
+	if a.service.scheduler.StoreUnheard() > maxStoreSilence {
+		a.keepAlive = false // the next request may reach another router
+		return configUnconfirmed
 	}
 	return r
 }
 
-// pathOf returns the path of a request's target.
+// pathOf returns the path of a request target.
 func pathOf(target []byte) string {
 	for i, b := range target {
 		if b == '?' {
@@ -187,7 +185,7 @@
 	a.deadline = a.began + limit
 }
 
-// serve decides and sends until there is an answer.
+// serve schedules and sends the request until it is answered.
 func (a *attempt) serve() {
 	for {
 		d, ok := a.decide()
@@ -200,11 +198,11 @@
 	}
 }
 
-// decide waits for the core's decision; ok is false where the request has
-// ended without one.
+// decide submits the request if necessary and waits for the scheduler's decision. ok is false if the request has ended
+// without being dispatched.
 func (a *attempt) decide() (scheduler.Decision, bool) {
-	if a.held == nil {
-		a.held = a.service.scheduler.Submit(core.Arrive{
+	if a.scheduled == nil {
+		a.scheduled = a.service.scheduler.Submit(core.Arrive{
 			Account: a.account,
 			Pool:    a.route.PoolFor(rand.Float64()),
 			Class:   a.route.Class,
@@ -222,24 +220,24 @@
 		})
 	}
 	select {
-	case d := <-a.held.Decisions:
-		a.noteDecision(d)
+	case d := <-a.scheduled.Decisions:
+		a.recordDecision(d)
 		if d.Dispatched {
 			return d, true
 		}
-		a.notDispatched(d)
+		a.handleRefusal(d)
 	case <-a.ctx.Done():
-		a.held.Abandon()
-		a.held.Finish(0, core.Cancelled)
-		a.end(tooLate)
+		a.scheduled.Abandon()
+		a.scheduled.Finish(0, core.Cancelled)
+		a.endExpired(tooLate)
 	}
 	return scheduler.Decision{}, false
 }
 
-// notDispatched answers a request that the core refuses: as not admitted where it
-// has never run, else with what its last backend server has come to.
-func (a *attempt) notDispatched(d scheduler.Decision) {
-	best := a.service.generation.InForce().Core.Backends[d.Basis.Best] // without a name for none
+// handleRefusal answers a request that the core refuses: as not admitted if it has never run, otherwise with the
+// outcome of its last send.
+func (a *attempt) handleRefusal(d scheduler.Decision) {
+	best := a.service.generation.InForce().Core.Backends[d.Basis.Best] // the zero value for none
 	logBasis(a.log("refused"), d.Basis).Str("reason", string(d.Refusal)).Str("backend", best.Name).
 		Dur("waited_ms", d.Waited).Dur("retry_after_ms", d.RetryAfter).Int("sends", a.sends).
 		Msg("request refused")
@@ -247,32 +245,32 @@
 	if d.Refusal == core.HeldBack {
 		why = heldBack
 	}
-	if a.ran || a.relay.begun {
+	if a.mayHaveRun || a.relay.begun {
 		a.giveUp(why)
 		return
 	}
 	a.refuse(why, d.RetryAfter)
 }
 
-// breakOff ends an answer so that its caller sees that it isn't whole.
-func (a *attempt) breakOff(why telemetry.Breach) {
-	a.keep = false
+// abort ends a response so that the caller sees that it is truncated.
+func (a *attempt) abort(why telemetry.Breach) {
+	a.keepAlive = false
 	a.countBreach(why)
 	a.conn.Abort()
-	a.count("broken")
+	a.countOutcome("broken")
 }
 
-// log returns a log line on the request.
+// log returns a log line with the fields of the request.
 func (a *attempt) log(outcome string) *zerolog.Event {
 	route := ""
 	if a.route != nil {
 		route = a.route.Name
 	}
 	return a.service.log.Info().Str("request", a.meta.ID).Str("outcome", outcome).
-		Str("account", a.name).Str("route", route).Dur("age_ms", a.service.clock.Since(a.began))
+		Str("account", a.accountName).Str("route", route).Dur("age_ms", a.service.clock.Since(a.began))
 }
 
-// logDispatch notes a decision with what it rests on.
+// logDispatch logs a dispatch with the basis of the decision.
 func (a *attempt) logDispatch(d scheduler.Decision, backend string, inForce *config.InForce) {
 	logBasis(a.log("dispatched"), d.Basis).Str("backend", backend).Int("send", a.sends+1).
 		Dur("waited_ms", d.Waited).Int("copied", d.Copied).
@@ -280,7 +278,7 @@
 		Msg("request dispatched")
 }
 
-// logBasis adds what a decision rests on to a line.
+// logBasis adds the basis of a decision to a log line.
 func logBasis(line *zerolog.Event, b prompt.Basis) *zerolog.Event {
 	return line.Dur("delay_ms", b.Delay).Dur("soonest_ms", b.Soonest).Int("unread", b.Unread).
 		Int("backlog", b.Backlog).Int("unheard", b.Unheard).Float64("slowness", b.Slow).
@@ -288,66 +286,65 @@
 		Float64("share_lately", b.Lately).Float64("owed", b.Owed).Float64("bound", b.Bound).Float64("bound_lately", b.Brief).Dur("loads_age_ms", b.Age)
 }
 
-// end answers a request of which nothing was sent, once its time is over or its
-// caller has left.
-func (a *attempt) end(r *refusal) {
+// endExpired ends a request of which nothing is being sent, after its deadline has passed or its caller has left.
+func (a *attempt) endExpired(r *refusal) {
 	if a.callerLeft() {
-		a.keep = false
-		a.count("caller-left")
+		a.keepAlive = false
+		a.countOutcome("caller-left")
 		return
 	}
-	if a.ran {
+	if a.mayHaveRun {
 		r = timedOut
 	}
 	a.giveUp(r)
 }
 
-// left returns how much of the request's time is left.
+// left returns the time until the deadline.
 func (a *attempt) left() time.Duration { return a.service.clock.Until(a.deadline) }
 
-// callerLeft tells whether the request has ended as its caller left, and not as its time is over.
+// callerLeft reports whether the request ended because its caller left, and not because its deadline passed.
 func (a *attempt) callerLeft() bool {
-	return errors.Is(a.ctx.Err(), context.Canceled) && !a.overslept.Load()
+	return errors.Is(a.ctx.Err(), context.Canceled) && !a.expiredInSuspension.Load()
 }
 
-// mayRetry tells whether the request may be sent to another backend server.
+// mayRetry reports whether the request may be sent to another backend server.
 func (a *attempt) mayRetry() bool {
 	return a.sends < max(a.route.Through.Attempts, 1) && a.left() > 0
 }
 
-// finish tells how a send has ended for its backend server; only the first word on a send counts.
+// finish reports how a send has ended to the scheduler; only the first report of a send counts.
 func (a *attempt) finish(ending core.Ending, output float64) {
-	if a.held == nil {
+	if a.scheduled == nil {
 		return
 	}
-	a.held.Finish(output, ending)
-	a.held = nil
+	a.scheduled.Finish(output, ending)
+	a.scheduled = nil
 }
 
 // countRefusal counts a refusal in the metrics.
 func (a *attempt) countRefusal(r *refusal) {
 	a.service.metrics.Front.Refusals.WithLabelValues(r.code).Inc()
-	a.count(r.code)
+	a.countOutcome(r.code)
 }
 
 func (a *attempt) refuse(r *refusal, retryAfter time.Duration) {
 	a.countRefusal(r)
 	switch r {
-	case crowded: // which has a line for many
-	case tooMany:
-		a.service.noteShed()
+	case queueFull: // logged in aggregate
+	case tooManyRequests:
+		a.service.logShed()
 	default:
 		a.log("answered").Int("status", r.status).Str("code", r.code).Dur("retry_after_ms", retryAfter).Msg("own answer")
 	}
-	if r.write(a.conn, retryAfter, !a.keep) != nil {
-		a.keep = false
+	if r.write(a.conn, retryAfter, !a.keepAlive) != nil {
+		a.keepAlive = false
 	}
 }
 
-func (a *attempt) count(outcome string) {
+func (a *attempt) countOutcome(outcome string) {
 	route := ""
 	if a.route != nil {
 		route = a.route.Name
 	}
-	a.service.metrics.Front.Requests.WithLabelValues(a.name, route, outcome).Inc()
+	a.service.metrics.Front.Requests.WithLabelValues(a.accountName, route, outcome).Inc()
 }
--- a/gateway/breach.go
+++ b/gateway/breach.go
@@ -7,14 +7,14 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// breachOf returns why an answer that had begun isn't whole: cause is what its writing or reading failed
-// with, nil where nothing can continue it any more.
+// breachOf returns why a response that had begun was truncated. cause is the read or write error, nil if no backend
+// server can continue the response.
 func (a *attempt) breachOf(cause error) telemetry.Breach {
 	var stalled *stall.Error
 	switch {
 	case errors.As(cause, &stalled):
 		return telemetry.BreachStalled
-	case errors.Is(cause, errCaller) || a.callerLeft():
+	case errors.Is(cause, errCallerStopped) || a.callerLeft():
 		return telemetry.BreachLeft
 	case a.ctx.Err() != nil:
 		return telemetry.BreachLate
@@ -23,7 +23,7 @@
 	}
 }
 
-// countBreach counts an answer that had begun and isn't whole.
+// countBreach counts a response that had begun and was truncated.
 func (a *attempt) countBreach(why telemetry.Breach) {
 	a.service.metrics.Front.Breaches.WithLabelValues(string(why)).Inc()
 }
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -18,73 +18,74 @@
 	"github.com/tamarindstep/tamarindstep/internal/stall"
 )
 
-// callerConn is a caller's connection.
+// callerConn is the connection of a caller.
 type callerConn struct {
 	*stall.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
 	busy   atomic.Bool // a request is being read or served
-	// detached is set where the connection is closed elsewhere.
+	// detached is set if another function closes the connection.
 	detached bool
-	writes   writes
-	// admitted is the place of its first request, where that was let in before the connection was taken, until it is read.
+	writes   writeStats
+	// admitted is the ticket of the first request if it was admitted before the connection was accepted, until the
+	// request is read.
 	admitted *admission.Ticket
 }
 
-// writes are what an answer's log line says of the writing of it.
-type writes struct {
-	taken    int           // bytes of the answer that the system has taken
-	last     time.Duration // how long the last write took
-	spent    time.Duration // how long all of them took
-	rested   time.Duration // how long the connection had rested before the request, 0 for a new one
-	answered time.Duration // when the last answer ended, 0 for never
+// writeStats are the measurements of response writes for log lines.
+type writeStats struct {
+	bytes     int           // of the response, accepted by the kernel
+	last      time.Duration // duration of the last write
+	total     time.Duration // duration of all writes
+	idle      time.Duration // idle time of the connection before the request, 0 for a new connection
+	lastWrite time.Duration // when the last write ended, 0 for never
 }
 
-// begin begins the count for a request that has just arrived.
-func (w *writes) begin(now time.Duration) {
-	w.taken, w.last, w.spent, w.rested = 0, 0, 0, 0
-	if w.answered > 0 {
-		w.rested = now - w.answered
+// begin resets the measurements for a request that has just arrived.
+func (w *writeStats) begin(now time.Duration) {
+	w.bytes, w.last, w.total, w.idle = 0, 0, 0, 0
+	if w.lastWrite > 0 {
+		w.idle = now - w.lastWrite
 	}
 }
 
-// wrote counts a write that has ended.
-func (w *writes) wrote(n int, began time.Duration) {
-	w.taken += n
-	w.answered = clock.System.Now()
-	w.last = w.answered - began
-	w.spent += w.last
+// add records a write that began at the given time and has ended.
+func (w *writeStats) add(n int, began time.Duration) {
+	w.bytes += n
+	w.lastWrite = clock.System.Now()
+	w.last = w.lastWrite - began
+	w.total += w.last
 }
 
-// note adds the writing of an answer to a line.
-func (w *writes) note(line *zerolog.Event) *zerolog.Event {
-	return line.Int("taken_bytes", w.taken).Dur("write_ms", w.last).Dur("rested_ms", w.rested)
+// addTo adds the measurements to a log line.
+func (w *writeStats) addTo(line *zerolog.Event) *zerolog.Event {
+	return line.Int("taken_bytes", w.bytes).Dur("write_ms", w.last).Dur("rested_ms", w.idle)
 }
 
 // Write implements io.Writer.
 func (c *callerConn) Write(b []byte) (int, error) {
 	began := clock.System.Now()
 	n, err := c.Conn.Write(b)
-	c.writes.wrote(n, began)
+	c.writes.add(n, began)
 	return n, err
 }
 
-// writeBuffers writes buffers past the connection's own, and lets go of each as the system has taken it.
+// writeBuffers writes buffers without the connection's own buffer and releases each once the kernel has accepted it.
 func (c *callerConn) writeBuffers(buffers *net.Buffers) error {
 	if err := c.flush(); err != nil {
 		return err
 	}
 	began := clock.System.Now()
 	n, err := c.WriteBuffers(buffers)
-	c.writes.wrote(n, began)
+	c.writes.add(n, began)
 	return err
 }
 
-// buffers are those of connections that have ended: a flooded router would spend
-// much of its processor on collecting them.
+// These pools reuse the buffers of closed connections: under a flood of connections a router would spend much of its
+// processor time on garbage collection.
 var (
 	readers sync.Pool // of *bufio.Reader
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, answerBuffer) }}
+	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBuffer) }}
 )
 
 func newCallerConn(c net.Conn, headerBytes int, writeStall time.Duration) *callerConn {
@@ -99,7 +100,7 @@
 	return out
 }
 
-// release closes the connection, which nothing reads from or writes to any more.
+// release closes the connection and recycles its buffers. It must not be read from or written to afterwards.
 func (c *callerConn) release() {
 	if !c.detached {
 		_ = c.Close()
@@ -110,17 +111,15 @@
 	writers.Put(c.writer)
 }
 
-// answerBuffer is the size of the buffer that an answer is written through, in
-// bytes.
-const answerBuffer = 4096
+// writeBuffer is the size of the buffer that responses are written through, in bytes.
+const writeBuffer = 4096
 
-// hasLeft tells whether the caller has closed its connection by now. A router that comes late
-// to a request finds its end there already; watch alone would tell too late of it, as the
-// decision is made beside it.
+// hasLeft reports whether the caller has closed its connection. A router that reads a request late finds the end of the
+// connection already there; watch, which runs concurrently with scheduling, would report it too late.
 func (c *callerConn) hasLeft() bool { return socket.Look(c.Conn) == socket.Ended }
 
-// watch calls left if the caller closes its connection, until stop is called.
-// While a request is served nothing else reads from the connection.
+// watch calls left if the caller closes its connection, until stop is called. Nothing else reads from the connection
+// while a request is served.
 func (c *callerConn) watch(left context.CancelFunc) (stop func()) {
 	done := make(chan struct{})
 	_ = c.SetReadDeadline(time.Time{})
@@ -138,5 +137,5 @@
 	}
 }
 
-// flush sends what was written.
+// flush sends the buffered bytes.
 func (c *callerConn) flush() error { return c.writer.Flush() }
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -9,47 +9,44 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Dialect reads and writes the headers that carry what routers, callers and
-// backend servers tell each other beside a request and its answer.
+// Dialect reads and writes the headers with the metadata of requests and responses that routers, callers and backend
+// servers exchange.
 type Dialect interface {
-	// Request reads what a caller says of its request; the error says what is
-	// wrong with it.
+	// Request reads the metadata from a caller's request header; the error describes invalid metadata.
 	Request(h *fasthttp.RequestHeader) (Meta, error)
-	// Forward changes a caller's header into the one for a backend server.
+	// Forward changes the header of a caller's request into the one sent to a backend server.
 	Forward(h *fasthttp.RequestHeader, f Forward)
-	// Answer reads what a backend server says of its answer.
+	// Answer reads the metadata from a backend server's response header.
 	Answer(h *fasthttp.ResponseHeader) AnswerMeta
 }
 
-// Meta is what a caller says of its request.
+// Meta is the metadata of a caller's request.
 type Meta struct {
 	ID       string
-	Key      string        // the account's key, "" for none
-	TimeLeft time.Duration // how long the caller waits, 0 where it doesn't say
+	Key      string        // the client account's key, "" for none
+	TimeLeft time.Duration // how long the caller waits, 0 if not specified
 	Prompt   model.Prompt
-	// LastEvent is the last event that the caller has of a stream that it
-	// resumes, "" for none.
+	// LastEvent is the identifier of the last event received of a stream that the caller resumes, "" for none.
 	LastEvent string
 }
 
-// Forward is what a backend server is told with a request.
+// Forward is the metadata sent to a backend server with a request.
 type Forward struct {
-	Backend   string // the run of the backend server that is meant
+	Backend   string // the name of the intended backend server process
 	Account   string // "" for none
 	TimeLeft  time.Duration
-	LastEvent string // "" to begin at the beginning
-	// CopyFrom is the address of the backend server from which it is to copy
-	// what that one keeps of the prompt, "" for none.
+	LastEvent string // "" for the beginning of the stream
+	// CopyFrom is the address of the backend server from which to copy the cached part of the prompt, "" for none.
 	CopyFrom string
 }
 
-// AnswerMeta is what a backend server says of its answer.
+// AnswerMeta is the metadata of a backend server's response.
 type AnswerMeta struct {
 	ID string // of the request that it answers
-	// NotRun tells that the request was not run.
+	// NotRun reports that the request was not run.
 	NotRun bool
-	// Notice is what it says of itself.
+	// Notice is the backend server's notice about its own state.
 	Notice notice.Notice
-	// Problem is why some of that can't be read, nil where it can or there is nothing.
+	// Problem is the error from reading the notice, nil if there is none.
 	Problem error
 }
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -5,34 +5,33 @@
 	"strconv"
 )
 
-// events cuts a stream of events at their ends, so that a stream which breaks
-// off within an event can be continued by another backend server without a gap
-// or a repetition. Streams that can't be resumed are passed on as they come.
+// events splits a stream at the ends of its events, so that a stream that breaks off within an event can be resumed at
+// another backend server without a gap or a repetition. Streams that can't be resumed are passed through unchanged.
 type events struct {
 	resumable bool
-	partial   []byte // of an event that hasn't ended yet
-	last      string // identifier of the last whole event handed on
-	number    int64  // the same, where it is a number
+	partial   []byte // the beginning of an unfinished event
+	lastID    string // identifier of the last whole event relayed
+	number    int64  // lastID as a number
 	numbered  bool
 }
 
 // begin prepares for the stream of another backend server.
 func (e *events) begin(last string) {
 	e.partial = e.partial[:0]
-	if e.last == "" && last != "" {
-		e.note(last)
+	if e.lastID == "" && last != "" {
+		e.record(last)
 	}
 }
 
-// note remembers the identifier of a whole event.
-func (e *events) note(id string) {
-	e.last = id
+// record stores the identifier of a whole event.
+func (e *events) record(id string) {
+	e.lastID = id
 	n, err := strconv.ParseInt(id, 10, 64)
 	e.number, e.numbered = n, err == nil
 }
 
-// take takes a part of a stream and returns what may be handed on.
-func (e *events) take(part []byte) []byte {
+// push adds a part of a stream and returns the bytes that can be relayed.
+func (e *events) push(part []byte) []byte {
 	if !e.resumable {
 		return part
 	}
@@ -44,34 +43,34 @@
 			return out
 		}
 		event := e.partial[:end]
-		if id, ok := eventID(event); !ok || e.follows(id) {
+		if id, ok := eventID(event); !ok || e.isNew(id) {
 			out = append(out, event...)
 			if ok {
-				e.note(id)
+				e.record(id)
 			}
 		}
 		e.partial = e.partial[end:]
 	}
 }
 
-// rest returns what is left at the end of a whole stream.
-func (e *events) rest() []byte {
+// remainder returns the unfinished event at the end of a stream.
+func (e *events) remainder() []byte {
 	out := e.partial
 	e.partial = nil
 	return out
 }
 
-// follows tells whether an event comes after the last one handed on; a backend
-// server that resumes may begin too early.
-func (e *events) follows(id string) bool {
+// isNew reports whether an event comes after the last one relayed; a backend server that resumes a stream may begin too
+// early.
+func (e *events) isNew(id string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil || !e.numbered {
-		return id != e.last
+		return id != e.lastID
 	}
 	return n > e.number
 }
 
-// eventEnd returns the length of the first whole event, -1 where there is none.
+// eventEnd returns the length of the first whole event, -1 if there is none.
 func eventEnd(b []byte) int {
 	end := bytes.Index(b, []byte("\n\n"))
 	if crlf := bytes.Index(b, []byte("\r\n\r\n")); crlf >= 0 && (end < 0 || crlf < end) {
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -16,10 +16,9 @@
 	return out.String()
 }
 
-// TestContinuedStreamIsWhole cuts a stream anywhere, in pieces of any size, and
-// lets another backend server go on, from the right event or too early: the caller
-// gets each event once.
-func TestContinuedStreamIsWhole(t *testing.T) {
+// TestResumedStreamIsWhole truncates a stream at any point, splits it into parts of any size, and resumes it at another
+// backend server, at the right event or too early: the caller must receive each event once.
+func TestResumedStreamIsWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := stream(1, 9)
 		first := all[:rapid.IntRange(0, len(all)).Draw(t, "cut")]
@@ -29,33 +28,33 @@
 		feed := func(text string) {
 			for len(text) > 0 {
 				n := rapid.IntRange(1, len(text)).Draw(t, "piece")
-				got.Write(e.take([]byte(text[:n])))
+				got.Write(e.push([]byte(text[:n])))
 				text = text[n:]
 			}
 		}
 		feed(first)
 		last := 0
-		if e.last != "" {
-			last = int(e.last[0] - '0')
+		if e.lastID != "" {
+			last = int(e.lastID[0] - '0')
 		}
-		e.begin(e.last)
+		e.begin(e.lastID)
 		feed(stream(max(1, last+1-rapid.IntRange(0, 2).Draw(t, "early")), 9))
-		got.Write(e.rest())
+		got.Write(e.remainder())
 		if got.String() != all {
 			t.Fatalf("%q", got.String())
 		}
 	})
 }
 
-func TestOtherStreamsArePassedOnAsTheyCome(t *testing.T) {
+func TestOtherStreamsArePassedThrough(t *testing.T) {
 	is := is.New(t)
 	var e events
 	e.begin("")
-	is.Equal(string(e.take([]byte("id: 1\nda"))), "id: 1\nda")
-	is.Equal(e.last, "")
+	is.Equal(string(e.push([]byte("id: 1\nda"))), "id: 1\nda")
+	is.Equal(e.lastID, "")
 }
 
-func TestHiddenRequests(t *testing.T) {
+func TestAmbiguousLength(t *testing.T) {
 	is := is.New(t)
 	for text, ambiguous := range map[string]bool{
 		"Host: a\r\nContent-Length: 4\r\n":                                       false,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,14 +1,13 @@
-// Package gateway serves callers whose requests are passed through unchanged:
-// by host and path, with the answer of the backend server handed on as it is.
+// Package gateway serves the callers whose requests are proxied unchanged: requests are routed by host and path, and
+// the response of the backend server is relayed as received.
 //
-// A request is read whole, decided on by the core, and sent to one backend
-// server at a time. It is sent again only where that is allowed: where it was
-// certainly not run, or may be repeated, within the attempts of its route and
-// the retry budget of the fleet. What was sent and broke off is never called
-// "not run". An answer reaches the caller whole or visibly broken.
+// A request is read whole, scheduled by the core, and sent to one backend server at a time. It is retried only if it
+// certainly was not run or may be repeated, within the attempts of its route and the retry budget of the fleet. A
+// request that was sent and whose response failed is never reported as "not run". A response reaches the caller whole
+// or is visibly truncated.
 //
-// A caller that leaves ends the work for it at once: its connection is read
-// from all the time, and the connection to the backend server is closed.
+// When a caller disconnects, the work for its request ends at once: the caller's connection is read from throughout,
+// and the connection to the backend server is closed.
 package gateway
 
 import (
@@ -35,42 +34,42 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered with the kernel.
 const ServiceName = "gateway"
 
 const (
-	// drainPoll is how often a stopping router looks whether it is done.
+	// drainPoll is the interval at which a draining router checks whether all requests have ended.
 	drainPoll = 20 * time.Millisecond
-	// lingerFor is how long a stopping router takes requests on open and new
-	// connections, as callers go on coming until its end is known.
-	lingerFor = 2500 * time.Millisecond
+	// drainGrace is how long a draining router accepts requests on open and new connections, because callers keep
+	// sending until they learn that it is draining.
+	drainGrace = 2500 * time.Millisecond
 )
 
-// Settings are what the service is made with.
+// Settings configures a Service.
 type Settings struct {
 	Listen   string
-	DataHall string // that this router is in
+	DataHall string // the data hall of this router
 	Dialect  Dialect
-	// MaxRequests is how many requests are served at once; more are refused.
+	// MaxRequests is the number of requests served at once; further ones are refused.
 	MaxRequests int
-	// MaxConns is how many connections of callers are open at once; more are turned away.
-	// From half of it on, connections end with their answers: callers keep those that rest
-	// for many seconds, and those of an account that is refused often would take up all.
+	// MaxConns is the number of open caller connections; further ones are rejected. Above half of it, connections are
+	// closed after their responses: callers keep idle connections open for many seconds, and those of an account that
+	// is refused often would use up the limit.
 	MaxConns int
-	// TurnAways is how many connections a second are turned away at the most, 0 for any number. More
-	// wait in the system's queue until it is their turn, and what is to be done for others goes on.
+	// TurnAways is the maximum number of connections rejected per second, 0 for no limit. Further connections wait in
+	// the listen queue, so that rejecting them does not delay other work.
 	TurnAways float64
-	// Processor is the part of a core that this router has, 0 for as many cores as it needs.
+	// Processor is this router's share of a processor core, 0 for no limit.
 	Processor float64
-	// HeldBytes is how much is held for callers, of their requests and answers, 0 for any amount.
+	// HeldBytes limits the memory for request and response bodies, 0 for no limit.
 	HeldBytes int
-	// WriteStall is how long a caller may take nothing of its answer.
+	// WriteStall is how long the write of a response may make no progress.
 	WriteStall time.Duration
-	// Fingerprints makes those of requests, alike at all routers.
+	// Fingerprints computes the fingerprints of requests, with the same results on all routers.
 	Fingerprints fingerprint.Maker
 }
 
-// Service serves callers.
+// Service accepts callers' connections and serves their requests.
 type Service struct {
 	settings Settings
 	log      zerolog.Logger
@@ -82,29 +81,29 @@
 	witness    blame.Witness
 	notices    *notices.Board
 	clock      *clock.Clock
-	sleepers   sleepers
+	inFlight   inFlight
 
 	listener  net.Listener
-	door      *door              // nil where the listener can't have one
-	unfollow  context.CancelFunc // ends the counting of work
+	screener  *screener          // nil if the listener does not support it
+	stopWork  context.CancelFunc // stops reporting work
 	draining  atomic.Bool
-	ending    atomic.Bool // no new requests are taken
+	refusing  atomic.Bool // new requests are refused
 	open      atomic.Int64
-	connected atomic.Int64 // connections of callers, those that were turned away left out
-	shed      atomic.Int64 // connections turned away that are still open
-	shedNoted *occasional
-	pending   *pending
+	connected atomic.Int64 // open caller connections, without rejected ones
+	lingering atomic.Int64 // rejected connections that are still open
+	shedLog   *logLimiter
+	admitter  *admitter
 	memory    *memory
 	work      work
 
-	mu    sync.Mutex
-	conns map[*callerConn]struct{}
-	ended sync.WaitGroup
+	mu      sync.Mutex
+	conns   map[*callerConn]struct{}
+	running sync.WaitGroup
 }
 
-// New returns the service.
+// New returns a Service with the given settings.
 func New(settings Settings, log zerolog.Logger, metrics *telemetry.Metrics) *Service {
-	return &Service{settings: settings, log: log, metrics: metrics, conns: map[*callerConn]struct{}{}, shedNoted: newOccasional(), clock: clock.System, sleepers: newSleepers(), pending: newPending(settings.Processor, metrics.Front), memory: newMemory(settings.HeldBytes, log, metrics.Front), unfollow: func() {}}
+	return &Service{settings: settings, log: log, metrics: metrics, conns: map[*callerConn]struct{}{}, shedLog: newLogLimiter(), clock: clock.System, inFlight: newInFlight(), admitter: newAdmitter(settings.Processor, metrics.Front), memory: newMemory(settings.HeldBytes, log, metrics.Front), stopWork: func() {}}
 }
 
 // Name implements kernel.Service.
@@ -128,96 +127,97 @@
 		Decisions: s.scheduler, Servers: s.back, Fingerprints: s.settings.Fingerprints, Ended: s.metrics.Front.Ended,
 	}
 	s.notices = notices.New(s.scheduler, s.clock, s.metrics.Front.Notices)
-	s.scheduler.Observe(scheduler.Observer{Slept: func(time.Duration) { s.sleepers.wake() }})
-	// A caller that is gone is found by the time its request has, and its idle time.
+	s.scheduler.Observe(scheduler.Observer{Slept: func(time.Duration) { s.inFlight.cancelExpired() }})
+	// Keep-alive probes are not needed: the deadline of a request and the idle timeout detect vanished callers.
 	listen := net.ListenConfig{KeepAlive: -1}
 	listener, err := listen.Listen(ctx, "tcp", s.settings.Listen)
 	if err != nil {
 		return err
 	}
 	s.listener = socket.Patient{Listener: listener}
-	if s.door, err = newDoor(s, listener); err != nil {
+	if s.screener, err = newScreener(s, listener); err != nil {
 		return errors.Join(err, listener.Close())
 	}
-	s.ended.Add(1)
+	s.running.Add(1)
 	go s.accept()
-	following, unfollow := context.WithCancel(context.WithoutCancel(ctx))
-	s.unfollow = unfollow
-	go s.work.follow(following, s.settings.Processor, s.log, s.metrics.Front)
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	s.stopWork = stopWork
+	go s.work.report(workCtx, s.settings.Processor, s.log, s.metrics.Front)
 	return nil
 }
 
 // Stop implements kernel.Service.
 func (s *Service) Stop(context.Context) error {
-	s.unfollow()
-	err := s.shut()
+	s.stopWork()
+	err := s.closeListener()
 	s.closeConns(false)
-	s.ended.Wait()
+	s.running.Wait()
 	return err
 }
 
-// shut ends the taking of connections.
-func (s *Service) shut() error {
+// closeListener stops accepting connections.
+func (s *Service) closeListener() error {
 	err := s.listener.Close()
 	if errors.Is(err, net.ErrClosed) {
 		err = nil
 	}
-	if s.door != nil {
-		err = errors.Join(err, s.door.close())
+	if s.screener != nil {
+		err = errors.Join(err, s.screener.close())
 	}
 	return err
 }
 
-// accept takes connections until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (s *Service) accept() {
-	defer s.ended.Done()
-	turnedAway := newPacer(s.settings.TurnAways)
+	defer s.running.Done()
+	rejections := newPacer(s.settings.TurnAways)
 	for {
-		if s.door != nil && !s.overloaded() && s.pending.crowded(s.now()) {
-			if s.door.meet() != nil {
-				return // it is closed
+		if s.screener != nil && !s.overloaded() && s.admitter.isRefusing(s.now()) {
+			if s.screener.acceptBatch() != nil {
+				return // closed
 			}
 			continue
 		}
-		if s.door != nil {
-			s.door.handOnEarly()
+		if s.screener != nil {
+			s.screener.handOverWaiting()
 		}
 		c, err := s.listener.Accept()
 		if err != nil {
-			return // it is closed
+			return // closed
 		}
 		if s.isFull() {
-			s.turnAway(c)
-			turnedAway.pause()
+			s.rejectUnread(c)
+			rejections.wait()
 			continue
 		}
-		s.take(c, nil)
+		s.startConn(c, nil)
 	}
 }
 
-// isFull tells whether a new connection is turned away unread.
+// isFull reports whether a new connection is rejected unread.
 func (s *Service) isFull() bool {
 	return s.overloaded() || s.connected.Load() >= int64(s.settings.MaxConns)
 }
 
-// take serves a connection, whose first request may have been let in already.
-func (s *Service) take(c net.Conn, admitted *admission.Ticket) {
-	s.work.did(workAccepted)
+// startConn serves a connection in a new goroutine. admitted is the ticket of its first request if that has been
+// admitted already.
+func (s *Service) startConn(c net.Conn, admitted *admission.Ticket) {
+	s.work.add(workAccepted)
 	s.connected.Add(1)
-	s.ended.Add(1)
+	s.running.Add(1)
 	go s.serve(c, admitted)
 }
 
 // serve serves one connection until it ends.
 func (s *Service) serve(raw net.Conn, admitted *admission.Ticket) {
-	defer s.ended.Done()
+	defer s.running.Done()
 	c := newCallerConn(raw, limitsOf(s.generation.InForce()).HeaderBytes, s.settings.WriteStall)
 	c.admitted = admitted
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	defer func() {
-		s.giveBack(c.admitted)
+		s.releaseTicket(c.admitted)
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
@@ -226,22 +226,21 @@
 	}()
 	for s.serveOne(c) {
 		c.busy.Store(false)
-		if s.ending.Load() {
+		if s.refusing.Load() {
 			return
 		}
 	}
 }
 
-// giveBack gives a place back of a request that has never been decided on, nil for none.
-func (s *Service) giveBack(admitted *admission.Ticket) {
+// releaseTicket releases the ticket of a request that was admitted but never scheduled; nil is allowed.
+func (s *Service) releaseTicket(admitted *admission.Ticket) {
 	if admitted != nil {
-		s.pending.left(*admitted)
-		s.pending.ended(*admitted)
+		s.admitter.withdraw(*admitted)
+		s.admitter.complete(*admitted)
 	}
 }
 
-// serveOne serves one request, and tells whether the connection may carry
-// another.
+// serveOne serves one request and reports whether the connection may carry another.
 func (s *Service) serveOne(c *callerConn) bool {
 	limits := limitsOf(s.generation.InForce())
 	a := &attempt{service: s, conn: c, req: fasthttp.AcquireRequest()}
@@ -249,12 +248,12 @@
 	refused, err := c.readHeader(a.req, limits)
 	if err == nil && refused == nil {
 		a.admit()
-		a.takeBody(limits)
+		a.reserveBody(limits)
 		if a.shed {
 			return a.refuseUnread()
 		}
 		refused, err = c.readBody(a.req, limits)
-		a.countBody()
+		a.resizeBody()
 	}
 	if err != nil {
 		return false
@@ -269,20 +268,19 @@
 	return a.handle()
 }
 
-// Drain lets a stopping router finish: callers are told to go elsewhere as
-// they are answered, and after a while nothing new is taken. It returns once
-// nothing is being served, or the context has ended.
+// Drain ends service gracefully: responses tell callers to close their connections, and after drainGrace new requests
+// are refused. It returns once no request is being served or ctx is done.
 func (s *Service) Drain(ctx context.Context) {
 	s.draining.Store(true)
-	linger := time.NewTimer(lingerFor)
-	defer linger.Stop()
+	grace := time.NewTimer(drainGrace)
+	defer grace.Stop()
 	select {
 	case <-ctx.Done():
-	case <-linger.C:
+	case <-grace.C:
 	}
-	s.ending.Store(true)
-	if err := s.shut(); err != nil {
-		s.log.Warn().Err(err).Msg("the listener for callers can't be closed")
+	s.refusing.Store(true)
+	if err := s.closeListener(); err != nil {
+		s.log.Warn().Err(err).Msg("closing the listener for callers failed")
 	}
 	s.closeConns(true)
 	ticker := time.NewTicker(drainPoll)
@@ -296,12 +294,12 @@
 	}
 }
 
-// closeConns closes the callers' connections, or only those that rest.
-func (s *Service) closeConns(resting bool) {
+// closeConns closes the callers' connections, or only the idle ones.
+func (s *Service) closeConns(idleOnly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if !resting || !c.busy.Load() {
+		if !idleOnly || !c.busy.Load() {
 			_ = c.Close()
 		}
 	}
--- a/gateway/halls_test.go
+++ b/gateway/halls_test.go
@@ -10,9 +10,9 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestOnlyWhatLeavesTheHallIsCounted sends to backend servers of the own data hall and another one, and to one that
-// isn't known any more.
-func TestOnlyWhatLeavesTheHallIsCounted(t *testing.T) {
+// TestOnlyTrafficToOtherHallsIsCounted counts bytes for the router's own data hall, for another one, and for a backend
+// server that has been removed.
+func TestOnlyTrafficToOtherHallsIsCounted(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
 	s := New(Settings{DataHall: "hall-a"}, zerolog.Nop(), metrics)
@@ -20,7 +20,7 @@
 	a.req.SetBodyString("twelve bytes")
 	halls := map[string]bool{"hall-a": false, "hall-b": true, "": false}
 	for hall, far := range halls {
-		is.Equal(a.leaves(hall), far)
+		is.Equal(a.isRemote(hall), far)
 		a.countBytes(telemetry.HallRequests, hall, len(a.req.Body()))
 	}
 	is.Equal(counted(t, metrics, "between_halls_bytes_total"), 12.0)
--- a/gateway/sleepers_test.go
+++ b/gateway/inflight_test.go
@@ -12,10 +12,10 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestRequestsWhoseTimeWasSleptThroughEnd suspends a machine with two requests on it. By the steady clock
-// both would have most of their time left: the one whose caller has given it up is ended, the other one
-// has as much less as was slept.
-func TestRequestsWhoseTimeWasSleptThroughEnd(t *testing.T) {
+// TestRequestsExpiredDuringSuspensionEnd suspends a VM with two requests on it. By the monotonic clock both would have
+// most of their time left: the one whose deadline has passed must be cancelled, and the other's remaining time must be
+// reduced by the suspension.
+func TestRequestsExpiredDuringSuspensionEnd(t *testing.T) {
 	is := is.New(t)
 	awake, asleep := time.Duration(0), time.Duration(0)
 	s := New(Settings{}, zerolog.Nop(), telemetry.NewMetrics())
@@ -25,19 +25,19 @@
 		a.deadline = a.began + long
 		ctx, end := context.WithTimeout(t.Context(), a.left())
 		a.ctx = ctx
-		s.sleepers.add(a, end)
+		s.inFlight.add(a, end)
 		return a
 	}
 	short, long := serve(2*time.Second), serve(time.Minute)
 	awake += time.Second
 	asleep += 10 * time.Second
 	is.Equal(s.clock.Look(), 10*time.Second)
-	s.sleepers.wake()
+	s.inFlight.cancelExpired()
 	is.True(short.ctx.Err() != nil)
-	is.True(!short.callerLeft()) // it gets an answer, as its time is over
+	is.True(!short.callerLeft()) // it gets a response, as its deadline has passed
 	is.NoErr(long.ctx.Err())
 	is.Equal(long.left(), 49*time.Second)
-	s.sleepers.remove(short)
-	s.sleepers.remove(long)
-	is.Equal(len(s.sleepers.end), 0)
+	s.inFlight.remove(short)
+	s.inFlight.remove(long)
+	is.Equal(len(s.inFlight.cancel), 0)
 }
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -13,12 +13,12 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// memory counts what is held for callers, and tells what gives way.
+// memory accounts for the request and response bodies in memory and decides which are refused or not buffered.
 type memory struct {
-	log      zerolog.Logger
-	metrics  *telemetry.Front
-	refused  *occasional
-	passedOn *occasional
+	log           zerolog.Logger
+	metrics       *telemetry.Front
+	refusedLog    *logLimiter
+	unbufferedLog *logLimiter
 
 	mu     sync.Mutex
 	budget *holding.Budget
@@ -29,110 +29,110 @@
 		limit = math.MaxInt
 	}
 	metrics.HeldLimit.Set(float64(limit))
-	return &memory{log: log, metrics: metrics, refused: newOccasional(), passedOn: newOccasional(), budget: holding.New(limit)}
+	return &memory{log: log, metrics: metrics, refusedLog: newLogLimiter(), unbufferedLog: newLogLimiter(), budget: holding.New(limit)}
 }
 
-// heldNames are the kinds of what is held, as metrics and logs name them.
-var heldNames = map[holding.Kind]string{holding.Body: "requests", holding.Answer: "answers"}
+// kindNames are the names of the kinds in metrics and logs.
+var kindNames = map[holding.Kind]string{holding.Body: "requests", holding.Answer: "answers"}
 
-// change changes how much of something is held.
-func (m *memory) change(k holding.Kind, from, to int) {
+// resize changes the size of a reservation.
+func (m *memory) resize(k holding.Kind, from, to int) {
 	if from == to {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.budget.Change(k, from, to)
-	m.tell(k)
+	m.updateGauge(k)
 }
 
-// take takes room, and tells whether there is any.
-func (m *memory) take(k holding.Kind, bytes int) bool {
+// reserve reserves memory and reports whether there was enough.
+func (m *memory) reserve(k holding.Kind, bytes int) bool {
 	if bytes == 0 {
 		return true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.budget.Take(k, bytes) {
-		m.giveWay(k, bytes)
+		m.recordRefusal(k, bytes)
 		return false
 	}
-	m.tell(k)
+	m.updateGauge(k)
 	return true
 }
 
-// tell sets the gauge of a kind.
-func (m *memory) tell(k holding.Kind) {
-	m.metrics.Held.WithLabelValues(heldNames[k]).Set(float64(m.budget.Held(k)))
+// updateGauge sets the gauge of a kind.
+func (m *memory) updateGauge(k holding.Kind) {
+	m.metrics.Held.WithLabelValues(kindNames[k]).Set(float64(m.budget.Held(k)))
 }
 
-// giveWay counts something for which there is no room, and writes a line now and then.
-func (m *memory) giveWay(k holding.Kind, bytes int) {
-	m.metrics.GaveWay.WithLabelValues(heldNames[k]).Inc()
-	said, text := m.refused, "no room: large requests refused unread"
+// recordRefusal counts a failed reservation and logs such failures at a limited rate.
+func (m *memory) recordRefusal(k holding.Kind, bytes int) {
+	m.metrics.GaveWay.WithLabelValues(kindNames[k]).Inc()
+	limiter, text := m.refusedLog, "no room: large requests refused unread"
 	if k == holding.Answer {
-		said, text = m.passedOn, "no room: answers passed on in parts"
+		limiter, text = m.unbufferedLog, "no room: answers passed on in parts"
 	}
-	if n := said.due(); n > 0 {
-		m.log.Warn().Str("held", heldNames[k]).Int64("times", n).Int("bytes", bytes).Int("requests_bytes", m.budget.Held(holding.Body)).
+	if n := limiter.due(); n > 0 {
+		m.log.Warn().Str("held", kindNames[k]).Int64("times", n).Int("bytes", bytes).Int("requests_bytes", m.budget.Held(holding.Body)).
 			Int("answers_bytes", m.budget.Held(holding.Answer)).Int("limit_bytes", m.budget.Limit()).Msg(text)
 	}
 }
 
-// holds is what is held for one request, in bytes.
-type holds struct{ body, answer int }
+// reservation is the memory reserved for one request, in bytes.
+type reservation struct{ body, response int }
 
-// takeBody takes room for the body of a request, or refuses it before it is read. One whose length isn't
-// known counts once it is read.
-func (a *attempt) takeBody(limits config.CallerLimits) {
+// reserveBody reserves memory for the body of a request, or refuses the request before the body is read. A body of
+// unknown length is counted after it is read.
+func (a *attempt) reserveBody(limits config.CallerLimits) {
 	length, known := bodyLength(&a.req.Header)
 	if a.shed || !known || length > limits.BodyBytes {
 		return
 	}
-	if a.service.memory.take(holding.Body, length) {
-		a.holds.body = length
+	if a.service.memory.reserve(holding.Body, length) {
+		a.reserved.body = length
 		return
 	}
-	a.shed, a.keep = true, false
+	a.shed, a.keepAlive = true, false
 	if a.refused == nil {
-		a.refused = noRoom
+		a.refused = noRoomForBody
 	}
 }
 
-// countBody counts a body that was read.
-func (a *attempt) countBody() {
+// resizeBody adjusts the reservation to the body that was read.
+func (a *attempt) resizeBody() {
 	length := len(a.req.Body())
-	a.service.memory.change(holding.Body, a.holds.body, length)
-	a.holds.body = length
+	a.service.memory.resize(holding.Body, a.reserved.body, length)
+	a.reserved.body = length
 }
 
-// takeAnswer takes room for the body of an answer, and returns how much of it is held at the most; ok
-// is false where there is no room.
-func (a *attempt) takeAnswer(answer *exchange.Answer) (most int, ok bool) {
-	a.holdAnswer(0) // of a send before
-	most = answer.Header.ContentLength()
-	if most < 0 || most > maxHeld {
-		most = maxHeld
+// reserveResponse reserves memory for the body of a response and returns its maximum size; ok is false if there isn't
+// enough.
+func (a *attempt) reserveResponse(response *exchange.Answer) (limit int, ok bool) {
+	a.resizeResponse(0) // of a previous send
+	limit = response.Header.ContentLength()
+	if limit < 0 || limit > maxBuffered {
+		limit = maxBuffered
 	}
-	if a.req.Header.IsHead() || answer.StatusCode() == fasthttp.StatusNotModified {
-		most = 0
+	if a.req.Header.IsHead() || response.StatusCode() == fasthttp.StatusNotModified {
+		limit = 0
 	}
-	if !a.service.memory.take(holding.Answer, most) {
+	if !a.service.memory.reserve(holding.Answer, limit) {
 		return 0, false
 	}
-	a.holds.answer = most
-	return most, true
+	a.reserved.response = limit
+	return limit, true
 }
 
-// holdAnswer says how much of an answer is held.
-func (a *attempt) holdAnswer(bytes int) {
-	a.service.memory.change(holding.Answer, a.holds.answer, bytes)
-	a.holds.answer = bytes
+// resizeResponse adjusts the reservation to the given number of bytes of the response.
+func (a *attempt) resizeResponse(bytes int) {
+	a.service.memory.resize(holding.Answer, a.reserved.response, bytes)
+	a.reserved.response = bytes
 }
 
-// returnHeld gives back what is held for the request.
-func (a *attempt) returnHeld() {
-	a.holdAnswer(0)
-	a.service.memory.change(holding.Body, a.holds.body, 0)
-	a.holds.body = 0
+// releaseMemory releases the memory reserved for the request.
+func (a *attempt) releaseMemory() {
+	a.resizeResponse(0)
+	a.service.memory.resize(holding.Body, a.reserved.body, 0)
+	a.reserved.body = 0
 }
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -16,16 +16,17 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// bodied returns a request whose body has a length that its header tells, -1 for one in chunks.
-func bodied(s *Service, conn *callerConn, length int) *attempt {
+// requestWithBody returns a request with the given Content-Length, -1 for a chunked body.
+func requestWithBody(s *Service, conn *callerConn, length int) *attempt {
 	a := &attempt{service: s, conn: conn, req: fasthttp.AcquireRequest()}
 	a.req.Header.SetContentLength(length)
 	return a
 }
 
-// TestLargeBodiesGiveWayUnread fills the memory of a router: the next large body is refused whole and counted, though
-// none of it has come, small ones and those of unknown length are taken, and there is room again after the others.
-func TestLargeBodiesGiveWayUnread(t *testing.T) {
+// TestLargeBodyRefusedWhenMemoryIsUsedUp uses up the memory limit: the next large body is refused before any of it
+// arrives, and counted. Small bodies and those of unknown length are accepted, and large ones again after memory is
+// released.
+func TestLargeBodyRefusedWhenMemoryIsUsedUp(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
 	const large = 100_000
@@ -33,12 +34,12 @@
 	limits := config.CallerLimits{BodyBytes: 10 * large}
 	ours, theirs := net.Pipe()
 	conn := newCallerConn(ours, 4096, time.Second)
-	first := bodied(s, conn, large)
-	first.takeBody(limits)
+	first := requestWithBody(s, conn, large)
+	first.reserveBody(limits)
 	is.True(first.refused == nil)
-	second := bodied(s, conn, large)
-	second.takeBody(limits)
-	is.Equal(second.refused, noRoom)
+	second := requestWithBody(s, conn, large)
+	second.reserveBody(limits)
+	is.Equal(second.refused, noRoomForBody)
 	go func() {
 		is.True(!second.refuseUnread())
 		conn.release()
@@ -49,22 +50,22 @@
 	is.True(resp.Header.Get("Retry-After") != "")
 	is.True(resp.Close)
 	is.Equal(counted(t, metrics, "gave_way_total"), 1.0)
-	tooLarge := bodied(s, conn, limits.BodyBytes+1)
-	tooLarge.takeBody(limits)
-	is.True(tooLarge.refused == nil) // for this; it is refused for its size
+	tooLarge := requestWithBody(s, conn, limits.BodyBytes+1)
+	tooLarge.reserveBody(limits)
+	is.True(tooLarge.refused == nil) // not for lack of memory: it is refused for its size
 	for _, length := range []int{holding.SmallBody, -1} {
-		a := bodied(s, conn, length)
-		a.takeBody(limits)
+		a := requestWithBody(s, conn, length)
+		a.reserveBody(limits)
 		is.True(a.refused == nil)
 		a.req.SetBodyRaw(make([]byte, 5000))
-		a.countBody()
+		a.resizeBody()
 		is.Equal(s.memory.budget.Held(holding.Body), large+5000)
-		a.returnHeld()
+		a.releaseMemory()
 	}
-	first.returnHeld()
-	first.returnHeld() // there is nothing to give back any more
+	first.releaseMemory()
+	first.releaseMemory() // a second release has no effect
 	is.Equal(s.memory.budget.Held(holding.Body), 0)
-	third := bodied(s, conn, large)
-	third.takeBody(limits)
+	third := requestWithBody(s, conn, large)
+	third.reserveBody(limits)
 	is.True(third.refused == nil)
 }
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -2,19 +2,20 @@
 
 import "github.com/tamarindstep/tamarindstep/scheduler"
 
-// hear takes what a backend server says of itself beside its answer, as soon as the answer's head has come: a stream
-// goes on for long. Only an answer to this very request is surely of the backend server that it was sent to.
-func (a *attempt) hear(d scheduler.Decision, answer AnswerMeta) {
-	if answer.ID != a.meta.ID {
+// recordNotice records a backend server's notice about its own state as soon as the head of the response has arrived,
+// because a stream may last long. Only a response with the identifier of this request certainly comes from the backend
+// server that it was sent to.
+func (a *attempt) recordNotice(d scheduler.Decision, response AnswerMeta) {
+	if response.ID != a.meta.ID {
 		return
 	}
-	if answer.Problem != nil {
+	if response.Problem != nil {
 		a.service.notices.Unreadable()
-		a.log("notice").Str("backend", a.nameOf(d)).Err(answer.Problem).Msg("what a backend server says of itself can't be read")
+		a.log("notice").Str("backend", a.nameOf(d)).Err(response.Problem).Msg("what a backend server says of itself can't be read")
 	}
-	if !a.service.notices.Hear(d.Backend, answer.Notice) {
+	if !a.service.notices.Hear(d.Backend, response.Notice) {
 		return
 	}
-	a.log("notice").Str("backend", a.nameOf(d)).Bool("leaving", answer.Notice.Leaving).
-		Dur("rest_ms", answer.Notice.Rest).Msg("backend server wants nothing new")
+	a.log("notice").Str("backend", a.nameOf(d)).Bool("leaving", response.Notice.Leaving).
+		Dur("rest_ms", response.Notice.Rest).Msg("backend server wants nothing new")
 }
--- a/gateway/pacer.go
+++ b/gateway/pacer.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// pacer keeps what one goroutine does within a rate, in bursts of up to pacerBurst.
+// pacer limits the rate of an operation of one goroutine, with bursts of up to pacerBurst.
 type pacer struct {
-	every time.Duration // 0 for no bound
-	next  time.Time     // when the burst is used up, by the rate
+	interval time.Duration // 0 for no limit
+	next     time.Time     // when the operations so far are paid for at the rate
 }
 
-// pacerBurst is the time whose number may be done at once: a pause is not worth less than that.
+// pacerBurst is the duration whose operations may be done at once: shorter sleeps aren't worthwhile.
 const pacerBurst = 5 * time.Millisecond
 
 func newPacer(perSecond float64) pacer {
 	if perSecond <= 0 {
 		return pacer{}
 	}
-	return pacer{every: time.Duration(float64(time.Second) / perSecond)}
+	return pacer{interval: time.Duration(float64(time.Second) / perSecond)}
 }
 
-// pause counts one, and sleeps where that was too many.
-func (p *pacer) pause() {
-	if p.every == 0 {
+// wait counts one operation and sleeps if the rate is exceeded.
+func (p *pacer) wait() {
+	if p.interval == 0 {
 		return
 	}
 	now := time.Now()
 	if p.next.Before(now) {
 		p.next = now
 	}
-	p.next = p.next.Add(p.every)
+	p.next = p.next.Add(p.interval)
 	if ahead := p.next.Sub(now); ahead > pacerBurst {
 		time.Sleep(ahead)
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -13,84 +13,82 @@
 )
 
 const (
-	// maxHeld is the size of the largest answer, in bytes, that is read whole
-	// before any of it is handed on; one that breaks off can then be sent again.
-	maxHeld = 256 << 10
-	// relayBuffer is the size of the largest part of a stream handed on at once.
+	// maxBuffered is the size in bytes of the largest response that is read whole before it is relayed; one that is
+	// truncated can then be retried.
+	maxBuffered = 256 << 10
+	// relayBuffer is the size in bytes of the largest part of a stream relayed at once.
 	relayBuffer = 8 << 10
 )
 
-// errCaller is the error for a caller that takes no more of its answer.
-var errCaller = errors.New("the caller takes no more")
+// errCallerStopped is the error for a caller that stopped reading its response.
+var errCallerStopped = errors.New("caller stopped reading the response")
 
-// relay hands an answer on to the caller.
+// relay relays responses to the caller.
 type relay struct {
-	begun  bool // part of the answer has been written
+	begun  bool // part of the response has been written
 	events events
-	parts  int // of a stream that were handed on
-	bytes  int // of answers that were read, without their heads
+	parts  int // parts of a stream relayed
+	bytes  int // response bytes read, without heads
 }
 
-// tokensPerEvent is what an event of a stream is taken to hold.
+// tokensPerEvent is the estimated number of tokens in an event of a stream.
 const tokensPerEvent = 3
 
-// output returns about how many tokens have been handed on.
-func (r *relay) output() float64 { return float64(r.parts * tokensPerEvent) }
+// outputTokens returns the estimated number of tokens relayed.
+func (r *relay) outputTokens() float64 { return float64(r.parts * tokensPerEvent) }
 
-// resumeAt returns the event after which a stream is to be continued, "" for
-// its beginning.
-func (r *relay) resumeAt() string { return r.events.last }
+// lastEventID returns the event after which a stream is to be resumed, "" for its beginning.
+func (r *relay) lastEventID() string { return r.events.lastID }
 
-// mayContinue tells whether another backend server's answer can take up where
-// the last one broke off.
-func (r *relay) mayContinue() bool { return !r.begun || r.events.resumable }
+// canResume reports whether another backend server's response can continue the truncated one.
+func (r *relay) canResume() bool { return !r.begun || r.events.resumable }
 
-// run hands on one answer, or what it adds to one that broke off.
-func (r *relay) run(a *attempt, answer *exchange.Answer) error {
-	if a.route.Through.Streaming && answer.StatusCode() == fasthttp.StatusOK {
-		return r.stream(a, answer)
+// run relays one response, or what it adds to a truncated one.
+func (r *relay) run(a *attempt, response *exchange.Answer) error {
+	if a.route.Through.Streaming && response.StatusCode() == fasthttp.StatusOK {
+		return r.relayStream(a, response)
 	}
 	if r.begun {
-		return errors.New("no stream continues the one that broke off")
+		return errors.New("response does not resume the truncated stream")
 	}
-	return r.whole(a, answer)
+	return r.relayWhole(a, response)
 }
 
-// whole reads an answer to its end before it hands it on, where there is room for it.
-func (r *relay) whole(a *attempt, answer *exchange.Answer) error {
-	most, ok := a.takeAnswer(answer)
+// relayWhole reads a response to its end before relaying it, if there is memory for it.
+func (r *relay) relayWhole(a *attempt, response *exchange.Answer) error {
+	expected, ok := a.reserveResponse(response)
 	if !ok {
-		return r.long(a, answer, nil, make([]byte, relayBuffer))
+		return r.relayChunked(a, response, nil, make([]byte, relayBuffer))
 	}
-	body, size, err := readBlocks(answer, most)
+	body, size, err := readBlocks(response, expected)
 	r.bytes += size
 	if err != nil {
 		return err
 	}
-	if size > maxHeld {
-		return r.long(a, answer, body, make([]byte, heldBlock))
+	if size > maxBuffered {
+		return r.relayChunked(a, response, body, make([]byte, blockSize))
 	}
-	a.holdAnswer(size)
-	answer.Close()
-	a.finish(core.Done, r.output()) // the server isn't held to its caller's pace
+	a.resizeResponse(size)
+	response.Close()
+	a.finish(core.Done, r.outputTokens()) // a slow caller must not keep the backend server busy
 	r.begun = true
-	r.writeHead(a, answer, size)
+	r.writeHead(a, response, size)
 	if a.req.Header.IsHead() {
 		return callerError(a.conn.flush())
 	}
 	return r.writeBlocks(a, body)
 }
 
-// heldBlock is the size of the blocks, in bytes, that a held answer is read into: each is let go of as soon as
-// the caller's system has taken it.
-const heldBlock = 32 << 10
+// blockSize is the size of the blocks, in bytes, that a buffered response is read into; each is released as soon as the
+// kernel has accepted it.
+const blockSize = 32 << 10
 
-// readBlocks reads an answer of which most bytes are expected, up to one more than are held of any.
-func readBlocks(answer *exchange.Answer, most int) (blocks net.Buffers, size int, err error) {
-	for size <= maxHeld {
-		block := make([]byte, 0, blockFor(most, size))
+// readBlocks reads a response with an expected size, up to one byte more than maxBuffered.
+func readBlocks(response *exchange.Answer, expected int) (blocks net.Buffers, size int, err error) {
+	for size <= maxBuffered {
+		block := make([]byte, 0, blockFor(expected, size))
 		for len(block) < cap(block) {
-			n, err := answer.Read(block[len(block):cap(block)])
+			n, err := response.Read(block[len(block):cap(block)])
 			block = block[:len(block)+n]
 			size += n
 			if err == io.EOF && len(block) == 0 && len(blocks) > 0 {
@@ -108,17 +106,18 @@
 	return blocks, size, nil
 }
 
-// blockFor returns the size of the next block of an answer of which so much has been read. One of unknown length, for
-// which as much as is ever held is expected, begins with a small one. There is room for a byte more, so that the end is
-// met without another block.
-func blockFor(most, read int) int {
-	if most == maxHeld && read == 0 {
-		return answerBuffer
+// blockFor returns the size of the next block after the given number of bytes. A response of unknown length, for which
+// maxBuffered bytes are expected, begins with a small block. Each block has room for one more byte, so that the end is
+// found without another block.
+func blockFor(expected, read int) int {
+	if expected == maxBuffered && read == 0 {
+		return writeBuffer
 	}
-	return min(max(most-read, 0)+1, heldBlock)
+	return min(max(expected-read, 0)+1, blockSize)
 }
 
-// writeBlocks writes a body: through the connection's buffer where it is one block, as its head is sent with it then.
+// writeBlocks writes a body. A single block goes through the connection's buffer, so that it is sent together with the
+// head.
 func (r *relay) writeBlocks(a *attempt, body net.Buffers) error {
 	if len(body) == 1 {
 		_, _ = a.conn.writer.Write(body[0])
@@ -127,18 +126,19 @@
 	return callerError(a.conn.writeBuffers(&body))
 }
 
-// long hands on an answer that isn't held: what was read of it, and then parts as large as a buffer.
-func (r *relay) long(a *attempt, answer *exchange.Answer, blocks net.Buffers, buffer []byte) error {
+// relayChunked relays a response that isn't buffered whole: the blocks read so far, then parts of up to the buffer's
+// size.
+func (r *relay) relayChunked(a *attempt, response *exchange.Answer, blocks net.Buffers, buffer []byte) error {
 	r.begun = true
-	a.held.Began()
-	r.writeHead(a, answer, chunked)
+	a.scheduled.Began()
+	r.writeHead(a, response, chunked)
 	for _, block := range blocks {
 		if err := r.writeChunk(a, block); err != nil {
 			return err
 		}
 	}
 	for {
-		n, err := answer.Read(buffer)
+		n, err := response.Read(buffer)
 		r.bytes += n
 		if err != nil && err != io.EOF {
 			return err
@@ -147,37 +147,37 @@
 			return err
 		}
 		if err == io.EOF {
-			return r.end(a)
+			return r.writeEnd(a)
 		}
 	}
 }
 
-// stream hands events on as they come.
-func (r *relay) stream(a *attempt, answer *exchange.Answer) error {
+// relayStream relays events as they arrive.
+func (r *relay) relayStream(a *attempt, response *exchange.Answer) error {
 	r.events.resumable = a.route.Through.Resumable
 	r.events.begin(a.meta.LastEvent)
 	buffer := make([]byte, relayBuffer)
 	began := false
 	for {
-		n, err := answer.Read(buffer)
+		n, err := response.Read(buffer)
 		r.bytes += n
 		if n > 0 {
 			if !began {
 				began = true
-				a.begunAfter = a.service.clock.Since(a.began)
-				a.held.Began()
+				a.firstPartAfter = a.service.clock.Since(a.began)
+				a.scheduled.Began()
 			}
 			r.parts++
-			a.service.work.did(workParts)
-			if err := r.pass(a, answer, r.events.take(buffer[:n])); err != nil {
+			a.service.work.add(workParts)
+			if err := r.writePart(a, response, r.events.push(buffer[:n])); err != nil {
 				return err
 			}
 		}
 		if err == io.EOF {
-			if err := r.pass(a, answer, r.events.rest()); err != nil {
+			if err := r.writePart(a, response, r.events.remainder()); err != nil {
 				return err
 			}
-			return r.end(a)
+			return r.writeEnd(a)
 		}
 		if err != nil {
 			return err
@@ -185,20 +185,20 @@
 	}
 }
 
-// pass writes a part of a stream, after its head where that is still due.
-func (r *relay) pass(a *attempt, answer *exchange.Answer, part []byte) error {
+// writePart writes a part of a stream, preceded by the head if that hasn't been written yet.
+func (r *relay) writePart(a *attempt, response *exchange.Answer, part []byte) error {
 	if len(part) == 0 {
 		return nil
 	}
 	if !r.begun {
 		r.begun = true
-		r.writeHead(a, answer, chunked)
+		r.writeHead(a, response, chunked)
 	}
 	return r.writeChunk(a, part)
 }
 
-// end writes the end of an answer in chunks.
-func (r *relay) end(a *attempt) error {
+// writeEnd writes the last chunk of a response.
+func (r *relay) writeEnd(a *attempt) error {
 	_, _ = a.conn.writer.WriteString("0\r\n\r\n")
 	return callerError(a.conn.flush())
 }
@@ -219,25 +219,25 @@
 	if err == nil {
 		return nil
 	}
-	return errors.Join(errCaller, err)
+	return errors.Join(errCallerStopped, err)
 }
 
 // chunked is the length of a body that is written in chunks.
 const chunked = -1
 
-// connectionHeaders concern one connection only and aren't handed on.
+// connectionHeaders are the hop-by-hop headers, which aren't relayed.
 var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true,
 }
 
-// writeHead writes the head of the backend server's answer.
-func (r *relay) writeHead(a *attempt, answer *exchange.Answer, length int) {
+// writeHead writes the head of the backend server's response.
+func (r *relay) writeHead(a *attempt, response *exchange.Answer, length int) {
 	w := a.conn.writer
-	status := answer.StatusCode()
+	status := response.StatusCode()
 	_, _ = w.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + fasthttp.StatusMessage(status) + "\r\n")
-	for name, value := range answer.Header.All() {
+	for name, value := range response.Header.All() {
 		if connectionHeaders[string(name)] {
 			continue
 		}
@@ -252,9 +252,9 @@
 		_, _ = w.WriteString("Content-Length: " + strconv.Itoa(length) + "\r\n")
 	}
 	if a.service.draining.Load() {
-		a.keep = false
+		a.keepAlive = false
 	}
-	if !a.keep {
+	if !a.keepAlive {
 		_, _ = w.WriteString("Connection: close\r\n")
 	}
 	_, _ = w.WriteString("\r\n")
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -21,8 +21,8 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestSlowCallersDoNotHoldServers guards against a whole answer's server that counts as busy, and as slow, for as long
-// as the caller takes to read it.
+// TestSlowCallersDoNotHoldServers guards against a backend server that counts as busy, and as slow, while a caller
+// reads a response that has been received whole.
 func TestSlowCallersDoNotHoldServers(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "an answer") }))
@@ -31,32 +31,32 @@
 	defer client.Close()
 	req := &fasthttp.Request{}
 	req.Header.SetHost("h")
-	answer, err := client.Do(t.Context(), req, exchange.Options{Patient: time.Minute})
+	response, err := client.Do(t.Context(), req, exchange.Options{Patient: time.Minute})
 	is.NoErr(err)
-	defer answer.Close()
+	defer response.Close()
 	metrics := telemetry.NewMetrics()
 	s := New(Settings{}, zerolog.Nop(), metrics)
 	s.scheduler = scheduler.New(member.Member{}, zerolog.Nop(), metrics)
 	ours, theirs := net.Pipe()
 	a := &attempt{
 		service: s, conn: newCallerConn(ours, 4096, time.Minute), req: &fasthttp.Request{}, route: &config.CompiledRoute{},
-		held: s.scheduler.Submit(core.Arrive{}), keep: true, ctx: context.Background(),
+		scheduled: s.scheduler.Submit(core.Arrive{}), keepAlive: true, ctx: context.Background(),
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- a.relay.run(a, answer) }()
-	_, err = theirs.Read(make([]byte, 1)) // the rest isn't taken yet
+	go func() { ended <- a.relay.run(a, response) }()
+	_, err = theirs.Read(make([]byte, 1)) // the rest isn't read yet
 	is.NoErr(err)
-	is.True(a.held == nil) // the server is free
+	is.True(a.scheduled == nil) // the send has ended
 	is.NoErr(theirs.Close())
 	is.True(<-ended != nil)
-	a.finish(core.Failed, 0) // the server hasn't failed: nothing more is told
+	a.finish(core.Failed, 0) // the send has ended as done: no second report is made
 }
 
-// TestCallersDoNotFailServers guards against a backend server that counts as failing since callers took no more of its answers.
+// TestCallersDoNotFailServers guards against backend servers that count as failing because callers stopped reading.
 func TestCallersDoNotFailServers(t *testing.T) {
 	is := is.New(t)
 	a := &attempt{ctx: t.Context()}
 	is.Equal(a.endingOf(callerError(io.ErrClosedPipe)), core.Broken)
 	is.Equal(a.endingOf(io.ErrUnexpectedEOF), core.Failed)
-	is.Equal(a.endingOf(errNameless), core.Failed)
+	is.Equal(a.endingOf(errNoRequestID), core.Failed)
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/clock"
 )
 
-// The limits of callers that hold until a configuration says otherwise.
+// The default limits for callers.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 8 << 20
@@ -20,7 +20,7 @@
 	defaultIdleTimeout   = 60 * time.Second
 )
 
-// limitsOf returns the limits in force, with the defaults where there are none.
+// limitsOf returns the limits in force, with defaults for those that are not configured.
 func limitsOf(c *config.InForce) config.CallerLimits {
 	var out config.CallerLimits
 	if c != nil {
@@ -41,11 +41,11 @@
 	return out
 }
 
-// errIdle is the error for a connection that ended before another request.
-var errIdle = errors.New("no further request")
+// errIdle is returned for a connection that ended without another request.
+var errIdle = errors.New("connection ended without another request")
 
-// readHeader reads one request up to its body. A refusal tells what to answer where
-// the bytes are no proper request; the connection can't be used after it.
+// readHeader reads one request up to its body. It returns a refusal if the bytes are not a valid request; the
+// connection can't be used after it.
 func (c *callerConn) readHeader(req *fasthttp.Request, limits config.CallerLimits) (*refusal, error) {
 	if err := c.SetReadDeadline(time.Now().Add(limits.IdleTimeout)); err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 	return nil, nil
 }
 
-// readBody reads the body of a request whose header was read.
+// readBody reads the body of a request whose header has been read.
 func (c *callerConn) readBody(req *fasthttp.Request, limits config.CallerLimits) (*refusal, error) {
 	if req.Header.ContentLength() > limits.BodyBytes {
 		return bodyTooLarge, nil
@@ -97,7 +97,7 @@
 	return nil, err
 }
 
-// discard reads a body over.
+// discard reads and discards a body of the given length.
 func (c *callerConn) discard(length int) error {
 	if err := c.SetReadDeadline(time.Now().Add(discardTimeout)); err != nil {
 		return err
@@ -106,11 +106,11 @@
 	return err
 }
 
-// bodyTimeout is how long a body may take to come.
+// bodyTimeout is the time limit for reading a body.
 const bodyTimeout = 30 * time.Second
 
-// ambiguousLength tells whether two readers of a header could disagree on where
-// the body ends: a second request could be hidden there.
+// ambiguousLength reports whether two parsers of a header could disagree on where the body ends, which would allow
+// request smuggling.
 func ambiguousLength(raw []byte) bool {
 	lengths, encodings := 0, 0
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -10,40 +10,38 @@
 )
 
 const (
-	// shedLinger is how long a connection that was turned away stays open after
-	// the answer. Closed at once, with bytes of the caller unread, it would be reset,
-	// and the caller might lose the answer.
-	shedLinger = 500 * time.Millisecond
-	// maxShed is how many such connections stay open; more are closed at once.
-	maxShed = 512
+	// lingerTimeout is how long a rejected connection stays open after the response. Closing it at once, with data from
+	// the caller unread, would reset it, and the caller might lose the response.
+	lingerTimeout = 500 * time.Millisecond
+	// maxLingering is the number of such connections; further ones are closed at once.
+	maxLingering = 512
 )
 
-// overloaded tells whether new requests are refused before they are understood.
+// overloaded reports whether new requests are refused before they are parsed.
 func (s *Service) overloaded() bool {
 	return s.open.Load() > int64(s.settings.MaxRequests) || s.scheduler.Behind()
 }
 
-// crowdedOut tells whether so many connections of callers are open that none may rest.
-func (s *Service) crowdedOut() bool { return s.connected.Load() > int64(s.settings.MaxConns)/2 }
+// connectionsScarce reports whether so many caller connections are open that idle ones must be closed.
+func (s *Service) connectionsScarce() bool { return s.connected.Load() > int64(s.settings.MaxConns)/2 }
 
-// turnAway refuses whatever a new connection brings without reading it. Reading a
-// request and its body costs several times as much, which a router that can't keep
-// up needs for the requests it has.
-func (s *Service) turnAway(c net.Conn) {
-	s.metrics.Front.Refusals.WithLabelValues(tooMany.code).Inc()
-	s.work.did(workUnread)
-	s.noteShed()
-	if _, err := stall.New(c, shedLinger).Write(tooMany.text(startRetryAfter, true)); err != nil {
+// rejectUnread answers a new connection with a refusal without reading from it. Reading a request and its body costs
+// several times as much processor time, which an overloaded router needs for the requests it has accepted.
+func (s *Service) rejectUnread(c net.Conn) {
+	s.metrics.Front.Refusals.WithLabelValues(tooManyRequests.code).Inc()
+	s.work.add(workUnread)
+	s.logShed()
+	if _, err := stall.New(c, lingerTimeout).Write(tooManyRequests.text(defaultRetryAfter, true)); err != nil {
 		_ = c.Close()
 		return
 	}
 	s.lingerConn(c)
 }
 
-// noteShed counts a caller that is refused as there is too much to do here.
-func (s *Service) noteShed() { s.shedNoted.note(s.log, s.scheduler.Late(), s.open.Load()) }
+// logShed counts a caller that is refused because of overload, and logs at a limited rate.
+func (s *Service) logShed() { s.shedLog.logRejected(s.log, s.scheduler.Late(), s.open.Load()) }
 
-// lingerConn is linger, of a connection that may not be one of TCP.
+// lingerConn is linger for a connection that may not support half-closing.
 func (s *Service) lingerConn(c net.Conn) {
 	half, ok := c.(halfCloser)
 	if !ok {
@@ -53,43 +51,42 @@
 	s.linger(half)
 }
 
-// halfCloser is a connection one side of which can be closed.
+// halfCloser is a connection whose write side can be closed on its own.
 type halfCloser interface {
 	Close() error
 	CloseWrite() error
 }
 
-// linger ends a connection that carries its last answer, and closes it after a while.
+// linger closes the write side of a connection after its last response, and the connection after lingerTimeout.
 func (s *Service) linger(c halfCloser) {
-	if c.CloseWrite() != nil || s.shed.Load() >= maxShed {
+	if c.CloseWrite() != nil || s.lingering.Load() >= maxLingering {
 		_ = c.Close()
 		return
 	}
-	s.shed.Add(1)
-	time.AfterFunc(shedLinger, func() {
+	s.lingering.Add(1)
+	time.AfterFunc(lingerTimeout, func() {
 		_ = c.Close()
-		s.shed.Add(-1)
+		s.lingering.Add(-1)
 	})
 }
 
 const (
-	// maxDiscarded is the size, in bytes, of the largest body that is read over so that its
-	// connection may carry another request: up to there a few reads cost less than a new
-	// connection does to accept and to close.
+	// maxDiscarded is the size, in bytes, of the largest body that is discarded so that its connection can carry
+	// another request: up to this size a few reads cost less than accepting and closing a new connection.
 	maxDiscarded = 32 << 10
-	// discardTimeout is how long the rest of such a body may take to come.
+	// discardTimeout is the time limit for reading the rest of such a body.
 	discardTimeout = time.Second
 )
 
-// refuseUnread refuses a request of which only the header was read, and tells whether the
-// connection may carry another.
+// refuseUnread refuses a request of which only the header was read, and reports whether the connection may carry
+// another.
 func (a *attempt) refuseUnread() bool {
 	length, known := bodyLength(&a.req.Header)
 	brief := known && length <= maxDiscarded && !a.req.MayContinue()
-	a.keep = a.keep && brief
+	a.keepAlive = a.keepAlive && brief
 	a.countRefused()
-	a.refuse(a.refused, startRetryAfter)
-	if a.keep {
+	a.refuse(a.refused, defaultRetryAfter)
+	if a.keepAlive {
 		return a.conn.discard(length) == nil
 	}
 	a.conn.detached = true
@@ -99,17 +96,16 @@
 
 // countRefused counts a request that is refused by its header.
 func (a *attempt) countRefused() {
-	if a.conn.writes.rested > 0 {
-		a.service.work.did(workRefusedKept)
+	if a.conn.writes.idle > 0 {
+		a.service.work.add(workRefusedKept)
 		return
 	}
-	a.service.work.did(workRefusedNew)
+	a.service.work.add(workRefusedNew)
 }
 
-// bodyLength returns how long the body is that follows a header; known is false where the
-// header doesn't tell.
+// bodyLength returns the length of the body that follows a header; known is false if the header doesn't specify it.
 func bodyLength(h *fasthttp.RequestHeader) (length int, known bool) {
-	const chunked, none = -1, -2 // by fasthttp
+	const chunked, none = -1, -2 // as in fasthttp
 	switch n := h.ContentLength(); n {
 	case chunked:
 		return 0, false
--- a/gateway/shed_test.go
+++ b/gateway/shed_test.go
@@ -22,10 +22,9 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestTurnedAwayCallersGetTheirAnswer lets callers send long requests to a router
-// that serves none: each must get a whole refusal, with when to come back, though
-// nothing of its request is read.
-func TestTurnedAwayCallersGetTheirAnswer(t *testing.T) {
+// TestRejectedCallersGetTheirResponse sends long requests to a router that serves none: each caller must receive a
+// whole refusal with a Retry-After header although nothing of its request is read.
+func TestRejectedCallersGetTheirResponse(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
 	s := New(Settings{MaxRequests: -1}, zerolog.Nop(), metrics)
@@ -33,7 +32,7 @@
 	var err error
 	s.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	s.ended.Add(1)
+	s.running.Add(1)
 	go s.accept()
 	defer func() { is.NoErr(s.Stop(t.Context())) }()
 	for range 50 {
@@ -52,22 +51,22 @@
 	}
 }
 
-// TestTurnedAwayCallersLeaveTimeForOthers lets callers come faster than they may be turned away: the others
-// wait in the system's queue until it is their turn, and get their answer then.
-func TestTurnedAwayCallersLeaveTimeForOthers(t *testing.T) {
+// TestRejectionsAreLimitedInRate makes connections arrive faster than they may be rejected: further ones must wait in
+// the listen queue.
+func TestRejectionsAreLimitedInRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPacer(100)
 		began := time.Now()
 		for range 300 {
-			p.pause()
+			p.wait()
 		}
 		took := time.Since(began)
 		is.True(took > 2900*time.Millisecond && took < 3100*time.Millisecond)
-		time.Sleep(10 * time.Second) // what wasn't used isn't saved up
+		time.Sleep(10 * time.Second) // unused operations don't accumulate
 		began = time.Now()
 		for range 100 {
-			p.pause()
+			p.wait()
 		}
 		is.True(time.Since(began) > 900*time.Millisecond)
 	})
@@ -92,10 +91,10 @@
 	return sum
 }
 
-// TestCrowdedAccountIsRefusedByHeader lets an account have as many requests pending as
-// may be decided on in time: its next large one is refused whole though its body never comes, each
-// refusal is counted, and there is a place again once one was decided on or has left.
-func TestCrowdedAccountIsRefusedByHeader(t *testing.T) {
+// TestOverloadedAccountIsRefusedByHeader lets an account have as many requests pending as can be scheduled in time: its
+// next large one is refused although its body never arrives, each refusal is counted, and requests are admitted again
+// once one has been scheduled or has left.
+func TestOverloadedAccountIsRefusedByHeader(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
 	s := New(Settings{MaxRequests: 10}, zerolog.Nop(), metrics)
@@ -111,9 +110,9 @@
 	}
 	var pending []*attempt
 	for a := attempts(7); ; a = attempts(7) {
-		a.letIn()
+		a.requestAdmission()
 		if a.refused != nil {
-			is.Equal(a.refused, crowded)
+			is.Equal(a.refused, queueFull)
 			is.True(a.shed)
 			go func() {
 				is.True(!a.refuseUnread())
@@ -128,28 +127,28 @@
 	is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
 	is.True(resp.Close)
 	for range 300 {
-		attempts(7).letIn()
+		attempts(7).requestAdmission()
 	}
 	is.Equal(counted(t, metrics, "refused_unread_total"), 301.0)
 	other := attempts(8)
-	other.letIn()
-	is.True(other.refused == nil) // another account's
-	other.letGo()
+	other.requestAdmission()
+	is.True(other.refused == nil) // another account is admitted
+	other.releaseTickets()
 	pending[0].began = s.clock.Now()
-	pending[0].noteDecision(scheduler.Decision{Dispatched: true})
+	pending[0].recordDecision(scheduler.Decision{Dispatched: true})
 	half := pending[:len(pending)/2]
-	for range 2 { // the second time there is nothing to give back any more
+	for range 2 { // a second release has no effect
 		for _, a := range half {
-			a.letGo()
+			a.releaseTickets()
 		}
 	}
 	again := attempts(7)
-	again.letIn()
+	again.requestAdmission()
 	is.True(again.refused == nil)
 }
 
-// TestRefusedCallersKeepTheirConnection refuses a request by its header whose body isn't large: its
-// answer doesn't wait for the body, and the next request on the connection is understood.
+// TestRefusedCallersKeepTheirConnection refuses by its header a request whose body isn't large: the response doesn't
+// wait for the body, and the next request on the connection is parsed correctly.
 func TestRefusedCallersKeepTheirConnection(t *testing.T) {
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
@@ -163,7 +162,7 @@
 		if _, err := conn.readHeader(req, limitsOf(nil)); err != nil {
 			return
 		}
-		a := &attempt{service: s, conn: conn, req: req, refused: crowded, shed: true, keep: true}
+		a := &attempt{service: s, conn: conn, req: req, refused: queueFull, shed: true, keepAlive: true}
 		if !a.refuseUnread() {
 			return
 		}
@@ -190,9 +189,9 @@
 	}
 }
 
-// TestCallersOfABusyRouterShareALine is of a router that came late to everything and wrote a line for each of 650 callers whom it
-// told so within a tenth of a second.
-func TestCallersOfABusyRouterShareALine(t *testing.T) {
+// TestRefusalsOfOverloadedRouterShareALogLine guards against a log line for each refused caller: an overloaded router
+// wrote 650 lines within a tenth of a second.
+func TestRefusalsOfOverloadedRouterShareALogLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		metrics := telemetry.NewMetrics()
@@ -207,13 +206,13 @@
 		for range refused {
 			a := &attempt{service: s, conn: c, req: fasthttp.AcquireRequest()}
 			a.admit()
-			is.Equal(a.refused, tooMany)
-			a.refuse(a.refused, startRetryAfter)
+			is.Equal(a.refused, tooManyRequests)
+			a.refuse(a.refused, defaultRetryAfter)
 			a.release()
-			time.Sleep(occasionalEvery / refused)
+			time.Sleep(logInterval / refused)
 		}
-		time.Sleep(occasionalEvery)
-		s.noteShed()
+		time.Sleep(logInterval)
+		s.logShed()
 		is.True(strings.Count(lines.String(), "\n") <= 3)
 		is.Equal(counted(t, metrics, "refusals_total"), float64(refused))
 	})
--- a/gateway/wanted_test.go
+++ b/gateway/wanted_test.go
@@ -11,8 +11,8 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// TestNothingIsSentForCallersThatLeft looks at a caller's connection, which another goroutine reads from
-// all the time, before and after the caller closes it.
+// TestNothingIsSentForCallersThatLeft checks a caller's connection, from which another goroutine reads all the time,
+// before and after the caller closes it.
 func TestNothingIsSentForCallersThatLeft(t *testing.T) {
 	is := is.New(t)
 	s := New(Settings{}, zerolog.Nop(), telemetry.NewMetrics())
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -13,62 +13,62 @@
 )
 
 const (
-	// workEvery is how often it is looked what the processor was used for.
-	workEvery = time.Second
-	// workNotedFrom is the part of its processor from which on a router writes a line of what it was used for.
-	workNotedFrom = 0.5
+	// workInterval is the interval at which work and processor time are reported.
+	workInterval = time.Second
+	// workLogThreshold is the fraction of its processor share from which on a router logs its work.
+	workLogThreshold = 0.5
 )
 
-// work counts what callers' requests cost processor time for, by kind.
+// work counts the operations performed for callers, by kind.
 type work struct {
-	kinds [kindsOfWork]atomic.Int64
+	kinds [numWorkKinds]atomic.Int64
 }
 
-// kindOfWork is one kind of what is done for callers.
-type kindOfWork int
+// workKind is a kind of operation performed for callers.
+type workKind int
 
 // The kinds of work.
 const (
-	workAccepted    kindOfWork = iota // connections taken in the ordinary way
-	workSent                          // requests written to a backend server
-	workParts                         // parts of streams passed on
-	workRefusedNew                    // requests refused by their header, the first of their connection
-	workRefusedKept                   // the same, a later one
-	workUnread                        // connections refused unread
-	workAtDoor                        // requests refused before their connection was taken
-	kindsOfWork
+	workAccepted    workKind = iota // connections accepted and served by a goroutine
+	workSent                        // requests written to a backend server
+	workParts                       // parts of streams relayed
+	workRefusedNew                  // requests refused by their header, the first of their connection
+	workRefusedKept                 // requests refused by their header, not the first of their connection
+	workUnread                      // connections rejected unread
+	workScreened                    // requests refused by the screener
+	numWorkKinds
 )
 
-// namesOfWork are the kinds' names in metrics and lines.
-var namesOfWork = [kindsOfWork]string{
+// workNames are the names of the kinds in metrics and log lines.
+var workNames = [numWorkKinds]string{
 	workAccepted: "accepted", workSent: "sent", workParts: "parts", workRefusedNew: "refused_new",
-	workRefusedKept: "refused_kept", workUnread: "refused_unread", workAtDoor: "refused_at_door",
+	workRefusedKept: "refused_kept", workUnread: "refused_unread", workScreened: "refused_at_door",
 }
 
-// did counts one.
-func (w *work) did(kind kindOfWork) { w.kinds[kind].Add(1) }
+// add counts one operation.
+func (w *work) add(kind workKind) { w.kinds[kind].Add(1) }
 
 // take returns the counts since the last call.
-func (w *work) take() (out [kindsOfWork]int64) {
+func (w *work) take() (out [numWorkKinds]int64) {
 	for kind := range w.kinds {
 		out[kind] = w.kinds[kind].Swap(0)
 	}
 	return out
 }
 
-// follow counts the work of each second in the metrics until the context ends. While the router uses much of its
-// processor, it also writes a line, so that the time can be told apart by kind: over some seconds the times are
-// sums of the kinds' prices.
-func (w *work) follow(ctx context.Context, processor float64, log zerolog.Logger, metrics *telemetry.Front) {
-	var counters [kindsOfWork]prometheus.Counter
-	for kind, name := range namesOfWork {
+// report adds the counts of each interval to the metrics until ctx is done. While the router uses much of its processor
+// share, it also logs the counts with the processor time used, so that the cost per kind can be estimated: over several
+// intervals the time is the sum of the costs of all operations.
+func (w *work) report(ctx context.Context, processor float64, log zerolog.Logger, metrics *telemetry.Front) {
+	var counters [numWorkKinds]prometheus.Counter
+	for kind, name := range workNames {
 		counters[kind] = metrics.Work.WithLabelValues(name)
 	}
-	ticker := time.NewTicker(workEvery)
+	ticker := time.NewTicker(workInterval)
 	defer ticker.Stop()
 	last, err := usage.Processor()
 	if err != nil {
-		log.Warn().Err(err).Msg("the processor time used can't be read")
+		log.Warn().Err(err).Msg("reading the processor time used failed")
 	}
 	at := time.Now()
 	for {
@@ -87,17 +87,17 @@
 		}
 		now := time.Now()
 		had := time.Duration(processor * float64(now.Sub(at)))
-		if had > 0 && float64(used-last) >= workNotedFrom*float64(had) {
+		if had > 0 && float64(used-last) >= workLogThreshold*float64(had) {
 			logWork(log.Info(), done).Dur("used_ms", used-last).Dur("had_ms", had).Msg("processor time and what it was used for")
 		}
 		last, at = used, now
 	}
 }
 
-// logWork adds counts by kind to a line.
-func logWork(line *zerolog.Event, done [kindsOfWork]int64) *zerolog.Event {
+// logWork adds the counts by kind to a log line.
+func logWork(line *zerolog.Event, done [numWorkKinds]int64) *zerolog.Event {
 	for kind, n := range done {
-		line.Int64(namesOfWork[kind], n)
+		line.Int64(workNames[kind], n)
 	}
 	return line
 }
