--- a/front/call.go
+++ b/front/call.go
@@ -23,43 +23,43 @@
 const (
 	maxWait           = time.Hour
 	maxIdempotencyKey = 255
-	// bytesPerToken is how many bytes of text a token is taken for.
+	// bytesPerToken is the estimated number of bytes of text per token.
 	bytesPerToken = 4.0
 	servicePrefix = "/services/"
 )
 
-// call is a caller's request, understood.
+// call is a parsed request of a caller.
 type call struct {
-	id         string
-	account    model.AccountID
-	name       string // of the account
-	route      *config.CompiledRoute
-	class      model.Class
-	input      float64 // tokens
-	wait       time.Duration
-	key        string // of idempotency, "" for none
-	path       string // at the backend server
-	body       []byte
-	eventsWish bool // the answer is to be streamed
+	id          string
+	account     model.AccountID
+	accountName string
+	route       *config.CompiledRoute
+	class       model.Class
+	input       float64 // tokens
+	wait        time.Duration
+	key         string // idempotency key, "" for none
+	path        string // at the backend server
+	body        []byte
+	stream      bool // the caller asked for a streamed response
 }
 
-// repeatable tells whether the request may be sent again after it may have run.
+// repeatable reports whether the request may be sent again after it may have run.
 func (c *call) repeatable() bool { return c.route.Repeatable && c.key == "" }
 
-// problem is a refusal with what is particular about it.
+// problem is a refusal with the details of the request.
 type problem struct {
 	refusal *Refusal
 	detail  string
 }
 
-// understand reads a caller's request.
-func understand(ctx *fasthttp.RequestCtx, c *config.InForce) (*call, *problem) {
+// parseCall parses a caller's request.
+func parseCall(ctx *fasthttp.RequestCtx, c *config.InForce) (*call, *problem) {
 	key, _ := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	account, ok := c.AccountOf(key)
 	if !ok {
 		return nil, &problem{refusal: UnknownKey}
 	}
-	out := &call{account: account, name: c.Core.Accounts[account].Name, body: ctx.Request.Body()}
+	out := &call{account: account, accountName: c.Core.Accounts[account].Name, body: ctx.Request.Body()}
 	path := string(ctx.Path())
 	var p *problem
 	if rest, ok := strings.CutPrefix(path, servicePrefix); ok {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// completion is the part of an OpenAI-style request that matters here.
+// completion is the relevant part of an OpenAI-style request.
 type completion struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -104,7 +104,7 @@
 	}
 	var in completion
 	if err := json.Unmarshal(c.body, &in); err != nil {
-		return &problem{MalformedBody, jsonPlace(c.body, err)}
+		return &problem{MalformedBody, jsonPosition(c.body, err)}
 	}
 	switch {
 	case in.Model == "":
@@ -119,13 +119,13 @@
 		return &problem{UnknownModel, fmt.Sprintf("%q", in.Model)}
 	}
 	c.path = path
-	c.eventsWish = in.Stream
+	c.stream = in.Stream
 	c.input = float64(len(in.Prompt)+len(in.Messages)) / bytesPerToken
 	return nil
 }
 
-// jsonPlace tells where a body stops being JSON, by line and column.
-func jsonPlace(body []byte, err error) string {
+// jsonPosition describes the line and column at which a body is not valid JSON.
+func jsonPosition(body []byte, err error) string {
 	offset := int64(len(body))
 	switch e := err.(type) {
 	case *json.SyntaxError:
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// backendRequest returns the request as it is sent to a backend server.
+// backendRequest returns the request to send to a backend server.
 func (c *call) backendRequest(ctx *fasthttp.RequestCtx, engine bool) (*fasthttp.Request, error) {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethodBytes(ctx.Method())
@@ -192,8 +192,7 @@
 	return req, nil
 }
 
-// withPriority sets the field by which engines order their queue; the lowest
-// goes first.
+// withPriority sets the field that orders the queue of an engine; the lowest value goes first.
 func withPriority(body []byte, class model.Class) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/front/call_test.go
+++ b/front/call_test.go
@@ -71,7 +71,7 @@
 		{chat, good, []string{idempotencyHeader, strings.Repeat("x", 256)}, BadKey, ""},
 	} {
 		is := is.New(t)
-		_, p := understand(request(c.path, c.body, c.headers...), testConfig(t))
+		_, p := parseCall(request(c.path, c.body, c.headers...), testConfig(t))
 		is.True(p != nil)
 		is.Equal(p.refusal, c.want)
 		is.True(strings.Contains(p.detail, c.detail))
@@ -83,19 +83,19 @@
 	}
 }
 
-func TestUnderstand(t *testing.T) {
+func TestParseCall(t *testing.T) {
 	is := is.New(t)
-	c, p := understand(request("/v1/completions", `{"model":"review","prompt":"12345678","stream":true}`), testConfig(t))
+	c, p := parseCall(request("/v1/completions", `{"model":"review","prompt":"12345678","stream":true}`), testConfig(t))
 	is.True(p == nil)
 	is.Equal(c.class, model.Batch)
-	is.True(c.eventsWish && c.id != "" && c.input > 1)
-	c, p = understand(request("/services/entries/waivers/7?x=1", "", idempotencyHeader, "k"), testConfig(t))
+	is.True(c.stream && c.id != "" && c.input > 1)
+	c, p = parseCall(request("/services/entries/waivers/7?x=1", "", idempotencyHeader, "k"), testConfig(t))
 	is.True(p == nil)
 	is.Equal(c.path, "/waivers/7?x=1")
 	is.True(!c.repeatable())
-	c, p = understand(request("/v1/chat/completions", `{"model":"chat","messages":[]}`, idempotencyHeader, "k"), testConfig(t))
+	c, p = parseCall(request("/v1/chat/completions", `{"model":"chat","messages":[]}`, idempotencyHeader, "k"), testConfig(t))
 	is.True(p == nil)
-	is.True(!c.repeatable()) // a key makes any request one that may not be repeated
+	is.True(!c.repeatable()) // an idempotency key makes a request of a repeatable route non-repeatable
 }
 
 func TestPriorityIsSet(t *testing.T) {
@@ -105,16 +105,16 @@
 	is.Equal(string(body), `{"model":"m","n":1.50,"priority":1}`)
 }
 
-func TestPaceIsLearned(t *testing.T) {
+func TestRateEstimate(t *testing.T) {
 	is := is.New(t)
-	var p pace
-	is.Equal(p.expect(2*time.Second), 2*startRate)
+	var p rateEstimator
+	is.Equal(p.estimate(2*time.Second), 2*defaultRate)
 	p.observe(100, time.Second)
-	is.Equal(p.expect(500*time.Millisecond), 50.0)
+	is.Equal(p.estimate(500*time.Millisecond), 50.0)
 	p.observe(200, time.Second)
-	is.Equal(p.expect(time.Second), 110.0)
-	p.observe(0, time.Second) // an answer without tokens teaches nothing
-	is.Equal(p.expect(time.Second), 110.0)
+	is.Equal(p.estimate(time.Second), 110.0)
+	p.observe(0, time.Second) // a response without tokens doesn't change the rate
+	is.Equal(p.estimate(time.Second), 110.0)
 }
 
 func TestEveryRefusalIsListed(t *testing.T) {
@@ -133,9 +133,9 @@
 	f.Add("/services/entries/waivers", "x", "")
 	f.Add("/services/", "{", "1h1h")
 	f.Fuzz(func(t *testing.T, path, body, wait string) {
-		got, p := understand(request(path, body, waitHeader, wait), c)
+		got, p := parseCall(request(path, body, waitHeader, wait), c)
 		if (got == nil) == (p == nil) {
-			t.Fatal("neither understood nor refused")
+			t.Fatal("neither parsed nor refused")
 		}
 		if got == nil {
 			return
--- a/front/front.go
+++ b/front/front.go
@@ -1,6 +1,5 @@
-// Package front serves the callers: OpenAI-style completions and chat, and
-// plain services. Every request gets one answer, its own, whole or visibly
-// broken, or one refusal that says whether it was run.
+// Package front serves callers of OpenAI-style completion and chat endpoints and of plain services. Every request gets
+// either its own response, whole or visibly truncated, or one refusal that says whether it was run.
 package front
 
 import (
@@ -30,23 +29,23 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered with the kernel.
 const ServiceName = "front"
 
 const (
 	maxBody     = 8 << 20
 	idleTimeout = 60 * time.Second
 	readTimeout = 30 * time.Second
-	// drainPoll is how often a stopping router looks whether it is done.
+	// drainPoll is the interval at which a draining router checks whether all requests have ended.
 	drainPoll = 20 * time.Millisecond
 )
 
-// Service serves callers.
+// Service accepts callers' connections and serves their requests.
 type Service struct {
 	listen string
-	// writeStall is how long a caller may take nothing of its answer.
-	writeStall time.Duration
-	// fingerprints makes those of requests, alike at all routers.
+	// writeTimeout is how long the write of a response may make no progress.
+	writeTimeout time.Duration
+	// fingerprints computes the fingerprints of requests, with the same results on all routers.
 	fingerprints fingerprint.Maker
 	log          zerolog.Logger
 	metrics      *telemetry.Metrics
@@ -59,18 +58,18 @@
 	witness    blame.Witness
 	notices    *notices.Board
 
-	pace     pace
+	rates    rateEstimator
 	server   *fasthttp.Server
 	listener net.Listener
 	open     atomic.Int64
 	draining atomic.Bool
-	ended    chan struct{}
+	stopped  chan struct{}
 }
 
-// New returns the service that listens on an IP and port, and whose callers may take nothing of an answer
-// for so long.
-func New(listen string, writeStall time.Duration, fingerprints fingerprint.Maker, log zerolog.Logger, metrics *telemetry.Metrics) *Service {
-	return &Service{listen: listen, writeStall: writeStall, fingerprints: fingerprints, log: log, metrics: metrics, ended: make(chan struct{})}
+// New returns a Service that listens on an IP address and port. writeTimeout is how long the write of a response may
+// make no progress.
+func New(listen string, writeTimeout time.Duration, fingerprints fingerprint.Maker, log zerolog.Logger, metrics *telemetry.Metrics) *Service {
+	return &Service{listen: listen, writeTimeout: writeTimeout, fingerprints: fingerprints, log: log, metrics: metrics, stopped: make(chan struct{})}
 }
 
 // Name implements kernel.Service.
@@ -85,7 +84,7 @@
 
 // Start implements kernel.Service.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
-	if err := s.find(k); err != nil {
+	if err := s.lookUp(k); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", s.listen)
@@ -96,7 +95,7 @@
 	s.server = &fasthttp.Server{
 		Handler:               s.handler(),
 		Name:                  "tamarindstep",
-		ErrorHandler:          refuseUnread,
+		ErrorHandler:          refuseUnparsed,
 		MaxRequestBodySize:    maxBody,
 		IdleTimeout:           idleTimeout,
 		ReadTimeout:           readTimeout,
@@ -104,13 +103,13 @@
 		CloseOnShutdown:       true,
 	}
 	go func() {
-		defer close(s.ended)
-		_ = s.server.Serve(stall.Listener{Listener: socket.Patient{Listener: listener}, Patience: s.writeStall})
+		defer close(s.stopped)
+		_ = s.server.Serve(stall.Listener{Listener: socket.Patient{Listener: listener}, Patience: s.writeTimeout})
 	}()
 	return nil
 }
 
-func (s *Service) find(k *kernel.Kernel) error {
+func (s *Service) lookUp(k *kernel.Kernel) error {
 	var failures [5]error
 	s.scheduler, failures[0] = kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName)
 	s.generation, failures[1] = kernel.Lookup[*generation.Service](k, generation.ServiceName)
@@ -138,8 +137,8 @@
 	return r.Handler
 }
 
-// refuseUnread answers what the server couldn't read as a request.
-func refuseUnread(ctx *fasthttp.RequestCtx, err error) {
+// refuseUnparsed answers a request that the HTTP server couldn't parse.
+func refuseUnparsed(ctx *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		BodyTooLarge.write(ctx, "", 0)
 		return
@@ -161,7 +160,7 @@
 		s.refuse(ctx, NotReady, "", 0)
 		return
 	}
-	call, p := understand(ctx, c)
+	call, p := parseCall(ctx, c)
 	if p != nil {
 		s.refuse(ctx, p.refusal, p.detail, 0)
 		return
@@ -174,9 +173,8 @@
 	r.write(ctx, detail, retryAfter)
 }
 
-// Drain lets no request in after those that are here, and waits for them. New
-// connections are still taken until the balancer has seen that the router isn't
-// ready; their requests are refused as not run.
+// Drain waits until no request is being served. New connections are still accepted until the load balancer has seen
+// that the router isn't ready; their requests are refused as not run.
 func (s *Service) Drain(ctx context.Context) {
 	s.draining.Store(true)
 	s.awaitOpen(ctx)
@@ -184,8 +182,8 @@
 	s.awaitOpen(ctx)
 }
 
-// handoverPause is how long a router stays after its last request, so that the
-// others have heard that it is leaving.
+// handoverPause is how long a router keeps serving after its last request, so that the other routers have received its
+// notice of leaving.
 const handoverPause = 300 * time.Millisecond
 
 // awaitOpen waits until no request is being served.
@@ -205,7 +203,7 @@
 // Stop implements kernel.Service.
 func (s *Service) Stop(ctx context.Context) error {
 	err := s.server.ShutdownWithContext(ctx)
-	<-s.ended
+	<-s.stopped
 	return err
 }
 
--- a/front/notice.go
+++ b/front/notice.go
@@ -9,10 +9,11 @@
 	"github.com/tamarindstep/tamarindstep/scheduler"
 )
 
-// hear takes how long a backend server wants nothing that is too busy. That it leaves is told by its health.
-func (a *attempt) hear(d scheduler.Decision, answer *exchange.Answer) {
-	after := answer.Header.Peek(fasthttp.HeaderRetryAfter)
-	if answer.StatusCode() != fasthttp.StatusServiceUnavailable || len(after) == 0 {
+// recordRetryAfter records for how long an overloaded backend server wants no new requests. A backend server that is
+// leaving reports this through its health checks.
+func (a *attempt) recordRetryAfter(d scheduler.Decision, response *exchange.Answer) {
+	after := response.Header.Peek(fasthttp.HeaderRetryAfter)
+	if response.StatusCode() != fasthttp.StatusServiceUnavailable || len(after) == 0 {
 		return
 	}
 	s := a.service
--- a/front/refusal.go
+++ b/front/refusal.go
@@ -11,7 +11,7 @@
 	"github.com/tamarindstep/tamarindstep/core"
 )
 
-// OutcomeHeader tells the caller of a refused request whether it was run.
+// OutcomeHeader is the response header that says whether a refused request was run.
 const OutcomeHeader = "Tamarindstep-Outcome"
 
 // The outcomes of a refused request.
@@ -20,7 +20,7 @@
 	Unknown = "unknown" // it may have been run
 )
 
-// Refusal is a kind of refusal, as docs/OPERATORS.md lists them.
+// Refusal is a kind of refusal, as listed in docs/OPERATORS.md.
 type Refusal struct {
 	Code    string
 	Status  int
@@ -64,8 +64,8 @@
 // Refusals returns every kind of refusal.
 func Refusals() []*Refusal { return refusals }
 
-// ofCore returns the refusal for the core's reason.
-func ofCore(reason core.Refusal) *Refusal {
+// refusalFor returns the refusal for the core's reason.
+func refusalFor(reason core.Refusal) *Refusal {
 	for _, r := range refusals {
 		if r.Code == string(reason) {
 			return r
@@ -81,7 +81,7 @@
 	Outcome string `json:"outcome"`
 }
 
-// minRetryAfter is the least a refused caller is asked to wait.
+// minRetryAfter is the minimum Retry-After of a refusal.
 const minRetryAfter = time.Second
 
 // write answers a request with the refusal.
--- a/front/relay.go
+++ b/front/relay.go
@@ -10,62 +10,62 @@
 	"github.com/tamarindstep/tamarindstep/internal/exchange"
 )
 
-// progressEvery is how often the core is told of a request's output.
-const progressEvery = 250 * time.Millisecond
+// progressInterval is the interval at which a request's output is reported to the core.
+const progressInterval = 250 * time.Millisecond
 
 var (
 	eventPrefix = []byte("data:")
-	lastEvent   = []byte("[DONE]")
+	doneEvent   = []byte("[DONE]")
 	usageField  = []byte(`"usage"`)
 )
 
-// meter counts the tokens of an answer as it flows.
+// meter counts the tokens of a response while it is relayed.
 type meter struct {
-	events bool // the answer is a stream of server-sent events
-	tokens float64
-	line   []byte // the beginning of a line whose end hasn't come
-	ended  bool   // the last event has come
+	events      bool // the response is a stream of server-sent events
+	tokens      float64
+	partialLine []byte // an unfinished line
+	ended       bool   // the last event was received
 }
 
-// maxLine bounds what is kept of a line whose end hasn't come, in bytes.
+// maxLine limits the size of an unfinished line, in bytes.
 const maxLine = 1 << 20
 
-func (m *meter) take(p []byte) {
+func (m *meter) add(p []byte) {
 	if !m.events {
 		return
 	}
 	for len(p) > 0 {
 		i := bytes.IndexByte(p, '\n')
 		if i < 0 {
-			if len(m.line)+len(p) <= maxLine {
-				m.line = append(m.line, p...)
+			if len(m.partialLine)+len(p) <= maxLine {
+				m.partialLine = append(m.partialLine, p...)
 			}
 			return
 		}
-		m.takeLine(append(m.line, p[:i]...))
-		m.line = m.line[:0]
+		m.addLine(append(m.partialLine, p[:i]...))
+		m.partialLine = m.partialLine[:0]
 		p = p[i+1:]
 	}
 }
 
-func (m *meter) takeLine(line []byte) {
+func (m *meter) addLine(line []byte) {
 	data, ok := bytes.CutPrefix(line, eventPrefix)
 	if !ok {
 		return
 	}
 	data = bytes.TrimSpace(data)
-	if bytes.Equal(data, lastEvent) {
+	if bytes.Equal(data, doneEvent) {
 		m.ended = true
 		return
 	}
 	m.tokens++
 	if bytes.Contains(data, usageField) {
-		m.takeUsage(data)
+		m.readUsage(data)
 	}
 }
 
-// takeUsage takes the engine's own count, where the text has it.
-func (m *meter) takeUsage(text []byte) {
+// readUsage replaces the count with the engine's own if the text contains it.
+func (m *meter) readUsage(text []byte) {
 	var in struct {
 		Usage struct {
 			CompletionTokens float64 `json:"completion_tokens"`
@@ -76,26 +76,25 @@
 	}
 }
 
-// relay is an answer on its way from a backend server to a caller. Its end is
-// io.EOF only where the answer is whole; anything else makes the server break
-// the connection off, so that the caller can tell.
+// relay reads a response from a backend server for a caller. Read returns io.EOF only at the end of a whole response;
+// any other error makes the HTTP server abort the connection, so that the caller sees that the response is truncated.
 type relay struct {
-	answer   *exchange.Answer
-	head     []byte // read already
-	headErr  error  // what came after head
-	meter    meter
-	told     time.Time
-	progress func(tokens float64)
-	finish   func(tokens float64, ending core.Ending)
-	brokeOff func() // the backend server did, after part of the answer was read
-	untaken  func() // the caller took only part of the answer
-	finished bool
+	response      *exchange.Answer
+	head          []byte // already read
+	headErr       error  // the error after head
+	meter         meter
+	reported      time.Time
+	progress      func(tokens float64)
+	finish        func(tokens float64, ending core.Ending)
+	backendFailed func() // called if the backend server fails after part of the response was read
+	callerStopped func() // called if the caller reads only part of the response
+	finished      bool
 }
 
 // Read implements io.Reader.
 func (r *relay) Read(p []byte) (int, error) {
 	n, err := r.read(p)
-	r.meter.take(p[:n])
+	r.meter.add(p[:n])
 	if err == io.EOF && r.meter.events && !r.meter.ended {
 		err = io.ErrUnexpectedEOF
 	}
@@ -104,11 +103,11 @@
 		r.end(core.Done)
 	case err != nil:
 		if !r.finished {
-			r.brokeOff()
+			r.backendFailed()
 		}
 		r.end(core.Broken)
-	case time.Since(r.told) >= progressEvery:
-		r.told = time.Now()
+	case time.Since(r.reported) >= progressInterval:
+		r.reported = time.Now()
 		r.progress(r.meter.tokens)
 	}
 	return n, err
@@ -123,7 +122,7 @@
 	if r.headErr != nil {
 		return 0, r.headErr
 	}
-	return r.answer.Read(p)
+	return r.response.Read(p)
 }
 
 func (r *relay) end(ending core.Ending) {
@@ -131,15 +130,15 @@
 		return
 	}
 	r.finished = true
-	r.answer.Close()
+	r.response.Close()
 	r.finish(r.meter.tokens, ending)
 }
 
-// Close implements io.Closer. Before the end it means that the caller left;
-// the backend server is told by the end of its connection.
+// Close implements io.Closer. A call before the end of the response means that the caller has left; closing the
+// connection signals this to the backend server.
 func (r *relay) Close() error {
 	if !r.finished {
-		r.untaken()
+		r.callerStopped()
 	}
 	r.end(core.Broken)
 	return nil
--- a/front/serve.go
+++ b/front/serve.go
@@ -25,44 +25,42 @@
 )
 
 const (
-	// maxSends is how often a request that may be repeated is sent.
+	// maxSends is the maximum number of sends of a repeatable request.
 	maxSends = 3
-	// lookEvery is how often a waiting request's caller is looked at.
-	lookEvery = 500 * time.Millisecond
-	// maxHeld is the size up to which an answer that isn't streamed is held
-	// until it is whole, in bytes.
-	maxHeld     = 1 << 20
+	// callerCheckInterval is the interval at which the caller's connection is checked while a request waits.
+	callerCheckInterval = 500 * time.Millisecond
+	// maxBuffered is the size up to which a response that isn't streamed is buffered whole, in bytes.
+	maxBuffered = 1 << 20
 	firstBuffer = 4096
 )
 
-// attempt is one request on its way through the router.
+// attempt is one request being served.
 type attempt struct {
-	service *Service
-	ctx     *fasthttp.RequestCtx
-	call    *call
-	trace   context.Context
-	span    trace.Span
-	began   time.Time
-	held    *scheduler.Request
-	claims  chan claim.Result // holds the outcome once it is known; nil for no key
-	streams bool              // the answer is being handed on after the handler has returned
-	holder  claim.Holder
-	sends   int
-	sent    time.Time // when it was last sent
-	sentTo  blame.Send
-	blame   *blame.Case
+	service     *Service
+	ctx         *fasthttp.RequestCtx
+	call        *call
+	trace       context.Context
+	span        trace.Span
+	began       time.Time
+	scheduled   *scheduler.Request
+	claimResult chan claim.Result // contains the result once the claim has been answered; nil without a key
+	streaming   bool              // the response is relayed after the handler has returned
+	holder      claim.Holder
+	sends       int
+	sentAt      time.Time // time of the last send
+	lastSend    blame.Send
+	blame       *blame.Case
 }
 
-// serve carries a request through: it waits for a backend server, claims its
-// key, is sent, and its answer is relayed.
+// serve schedules the request, claims its key, sends it, and relays the response.
 func (s *Service) serve(ctx *fasthttp.RequestCtx, c *call) {
 	a := &attempt{service: s, ctx: ctx, call: c, began: time.Now(), holder: claim.NewHolder()}
-	a.blame = s.witness.Follow(c.account, a.unchanging())
+	a.blame = s.witness.Follow(c.account, a.fingerprintInput())
 	a.trace, a.span = s.traces.Begin(s.traces.Extract(context.Background(), &ctx.Request.Header), "request", trace.SpanKindServer)
-	a.span.SetAttributes(attribute.String("account", c.name), attribute.String("route", c.route.Name))
+	a.span.SetAttributes(attribute.String("account", c.accountName), attribute.String("route", c.route.Name))
 	ctx.Response.Header.Set(requestIDHeader, c.id)
 	a.submit()
-	a.beginClaim()
+	a.startClaim()
 	for {
 		d, left := a.wait()
 		if left {
@@ -70,166 +68,164 @@
 			return
 		}
 		if !d.Dispatched {
-			a.refuseWaiting(d)
+			a.refuseUndispatched(d)
 			return
 		}
 		if a.claim() && a.send(d) {
 			return
 		}
-		if a.held == nil {
+		if a.scheduled == nil {
 			return
 		}
 	}
 }
 
-// refuseWaiting refuses a request that won't be dispatched. Where it was sent
-// before, and broke off, it may have been run.
-func (a *attempt) refuseWaiting(d scheduler.Decision) {
+// refuseUndispatched refuses a request that won't be dispatched. If an earlier send failed, the request may have been
+// run.
+func (a *attempt) refuseUndispatched(d scheduler.Decision) {
 	if a.sends > 0 {
 		a.refuse(BackendBroke, "and then "+string(d.Refusal), d.RetryAfter)
 		return
 	}
-	a.unclaim()
-	a.refuse(ofCore(d.Refusal), "", d.RetryAfter)
+	a.releaseClaim()
+	a.refuse(refusalFor(d.Refusal), "", d.RetryAfter)
 }
 
 func (a *attempt) submit() {
-	a.held = a.service.scheduler.Submit(core.Arrive{
+	a.scheduled = a.service.scheduler.Submit(core.Arrive{
 		Account: a.call.account, Pool: a.call.route.Pool, Class: a.call.class,
 		Input: a.call.input, Wait: a.call.wait - time.Since(a.began), Fingerprint: a.blame.Suspect(),
 	})
 }
 
-// wait waits for the core's decision, and tells whether the caller left first.
+// wait waits for the scheduler's decision. It reports true if the caller left first.
 func (a *attempt) wait() (scheduler.Decision, bool) {
 	_, span := a.service.traces.Begin(a.trace, "wait", trace.SpanKindInternal)
 	defer span.End()
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(callerCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case d := <-a.held.Decisions:
+		case d := <-a.scheduled.Decisions:
 			return d, false
 		case <-ticker.C:
 			if socket.Look(a.ctx.Conn()) != socket.Ended {
 				continue
 			}
-			a.held.Abandon()
-			a.held.Finish(0, core.Cancelled)
-			a.unclaim()
+			a.scheduled.Abandon()
+			a.scheduled.Finish(0, core.Cancelled)
+			a.releaseClaim()
 			a.ctx.SetConnectionClose()
 			return scheduler.Decision{}, true
 		}
 	}
 }
 
-// beginClaim begins to claim the request's key, where it has one, while the
-// request waits: so that no slot is held for it while others wait.
-func (a *attempt) beginClaim() {
+// startClaim starts to claim the request's key, if any, while the request waits, so that no slot is occupied during the
+// claim.
+func (a *attempt) startClaim() {
 	if a.call.key == "" {
 		return
 	}
-	a.claims = make(chan claim.Result, 1)
+	a.claimResult = make(chan claim.Result, 1)
 	key := claim.KeyOf(a.call.account, a.call.key)
 	go func() {
 		_, span := a.service.traces.Begin(a.trace, "claim", trace.SpanKindInternal)
 		result := a.service.claims.Claim(context.WithoutCancel(a.trace), key, a.holder)
 		span.SetAttributes(attribute.Stringer("result", result))
 		span.End()
-		a.claims <- result
+		a.claimResult <- result
 	}()
 }
 
-// claim waits until the request's key is claimed, before anything is sent. It
-// returns false where the request was refused for it.
+// claim waits until the request's key is claimed, before anything is sent. It returns false if the request was refused
+// because of the claim.
 func (a *attempt) claim() bool {
-	if a.claims == nil {
+	if a.claimResult == nil {
 		return true
 	}
-	result := <-a.claims
-	a.claims <- result
+	result := <-a.claimResult
+	a.claimResult <- result
 	switch {
 	case result == claim.Held:
 		return true
 	case result == claim.Unavailable && a.call.route.BestEffort:
 		return true
 	}
-	a.held.Finish(0, core.Cancelled)
-	a.held = nil
+	a.scheduled.Finish(0, core.Cancelled)
+	a.scheduled = nil
 	if result == claim.Taken {
 		a.refuse(AlreadyClaimed, "", 0)
 		return false
 	}
-	a.unclaim()
+	a.releaseClaim()
 	a.refuse(ClaimUnavailable, "", 0)
 	return false
 }
 
-// unclaim gives the key back after nothing was sent for it, once it is known
-// whether it is held.
-func (a *attempt) unclaim() {
-	if a.claims == nil || a.sends > 0 {
+// releaseClaim releases the key after nothing was sent, once the result of the claim is known.
+func (a *attempt) releaseClaim() {
+	if a.claimResult == nil || a.sends > 0 {
 		return
 	}
 	key := claim.KeyOf(a.call.account, a.call.key)
-	claims, holder, service := a.claims, a.holder, a.service.claims
+	result, holder, service := a.claimResult, a.holder, a.service.claims
 	go func() {
-		if <-claims != claim.Taken {
+		if <-result != claim.Taken {
 			service.Release(key, holder)
 		}
 	}()
 }
 
-// send sends the request to the backend server that was decided on. It returns
-// false where the request waits again.
+// send sends the request to the backend server of the decision. It returns false if the request waits again.
 func (a *attempt) send(d scheduler.Decision) bool {
 	s := a.service
 	c := s.generation.InForce()
 	backend := c.Core.Backends[d.Backend]
 	policy := c.Core.Policy.Name
-	s.metrics.Front.Wait.WithLabelValues(a.call.name, a.call.class.String(), policy).Observe(d.Waited.Seconds())
+	s.metrics.Front.Wait.WithLabelValues(a.call.accountName, a.call.class.String(), policy).Observe(d.Waited.Seconds())
 	ctx, span := s.traces.Begin(a.trace, "backend", trace.SpanKindClient)
 	span.SetAttributes(attribute.String("backend", backend.Name))
 	defer span.End()
 	engine := c.Core.Pools[a.call.route.Pool].FollowLoad
 	req, err := a.call.backendRequest(a.ctx, engine)
 	if err != nil {
-		a.held.Finish(0, core.Cancelled)
-		a.unclaim()
+		a.scheduled.Finish(0, core.Cancelled)
+		a.releaseClaim()
 		a.refuse(MalformedBody, err.Error(), 0)
 		return true
 	}
 	defer fasthttp.ReleaseRequest(req)
 	s.traces.Inject(ctx, &req.Header)
 	stop := func() {}
-	if engine && !a.call.eventsWish {
-		stop = s.pace.follow(a.held.Progress)
+	if engine && !a.call.stream {
+		stop = s.rates.report(a.scheduled.Progress)
 	}
-	a.sent = time.Now()
-	a.sentTo = blame.Send{Backend: d.Backend, Address: c.AddressOf(d.Backend), At: a.sent}
-	takes := func() bool { return s.notices.Takes(d.Backend) }
-	answer, err := s.back.Send(context.WithoutCancel(ctx), c.AddressOf(d.Backend), req, takes)
+	a.sentAt = time.Now()
+	a.lastSend = blame.Send{Backend: d.Backend, Address: c.AddressOf(d.Backend), At: a.sentAt}
+	accepts := func() bool { return s.notices.Takes(d.Backend) }
+	response, err := s.back.Send(context.WithoutCancel(ctx), c.AddressOf(d.Backend), req, accepts)
 	stop()
 	if exchange.NotSent(err) {
 		span.SetStatus(codes.Error, err.Error())
-		a.held.Retry()
+		a.scheduled.Retry()
 		return false
 	}
 	a.sends++
-	s.metrics.Share.Dispatched.WithLabelValues(a.call.name, backend.Name, policy).Inc()
+	s.metrics.Share.Dispatched.WithLabelValues(a.call.accountName, backend.Name, policy).Inc()
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
-		return a.brokeOff(err)
+		return a.handleFailure(err)
 	}
-	a.hear(d, answer)
-	return a.relay(answer)
+	a.recordRetryAfter(d, response)
+	return a.relay(response)
 }
 
-// brokeOff handles a backend server that broke off before any of its answer
-// went to the caller. It returns false where the request waits again.
-func (a *attempt) brokeOff(cause error) bool {
-	a.held.Finish(0, core.Broken)
-	a.blame.BrokeOff(a.sentTo)
+// handleFailure handles a response that failed before any of it was relayed to the caller. It returns false if the
+// request waits again.
+func (a *attempt) handleFailure(cause error) bool {
+	a.scheduled.Finish(0, core.Broken)
+	a.blame.BrokeOff(a.lastSend)
 	if a.call.repeatable() && a.sends < maxSends {
 		a.submit()
 		return false
@@ -238,60 +234,60 @@
 	return true
 }
 
-// relay hands the answer on to the caller. It returns false where the request
-// waits again, as the answer broke off before any of it was handed on.
-func (a *attempt) relay(answer *exchange.Answer) bool {
-	events := strings.HasPrefix(string(answer.Header.ContentType()), "text/event-stream")
-	r := &relay{answer: answer, meter: meter{events: events}, told: time.Now(), progress: a.held.Progress}
+// relay relays the response to the caller. It returns false if the request waits again because the response failed
+// before any of it was relayed.
+func (a *attempt) relay(response *exchange.Answer) bool {
+	events := strings.HasPrefix(string(response.Header.ContentType()), "text/event-stream")
+	r := &relay{response: response, meter: meter{events: events}, reported: time.Now(), progress: a.scheduled.Progress}
 	r.finish = a.finished
-	r.brokeOff = a.brokeOffBegun
-	r.untaken = a.countUntaken(a.ctx.Conn())
+	r.backendFailed = a.recordBackendFailure
+	r.callerStopped = a.callerStopCounter(a.ctx.Conn())
 	size := firstBuffer
 	if !events {
-		size = maxHeld
+		size = maxBuffered
 	}
-	r.head, r.headErr = readHead(answer, size, events)
+	r.head, r.headErr = readHead(response, size, events)
 	if r.headErr != nil && r.headErr != io.EOF {
 		cause := r.headErr
 		r.finished = true
-		answer.Close()
-		return a.brokeOff(cause)
+		response.Close()
+		return a.handleFailure(cause)
 	}
 	if !events && r.headErr == io.EOF {
-		r.meter.takeUsage(r.head)
+		r.meter.readUsage(r.head)
 	}
 	a.service.metrics.Front.First.WithLabelValues(a.call.route.Name).Observe(time.Since(a.began).Seconds())
-	a.answerHead(answer)
-	length := answer.Header.ContentLength()
+	a.copyHead(response)
+	length := response.Header.ContentLength()
 	if !events && r.headErr == io.EOF {
 		body := r.head
 		r.end(core.Done)
 		a.ctx.SetBody(body)
 		return true
 	}
-	a.streams = true
+	a.streaming = true
 	a.service.open.Add(1)
 	a.ctx.SetBodyStream(r, max(length, -1))
 	return true
 }
 
-func (a *attempt) answerHead(answer *exchange.Answer) {
-	a.ctx.SetStatusCode(answer.StatusCode())
-	a.ctx.SetContentType(string(answer.Header.ContentType()))
-	if after := answer.Header.Peek(fasthttp.HeaderRetryAfter); len(after) > 0 {
+func (a *attempt) copyHead(response *exchange.Answer) {
+	a.ctx.SetStatusCode(response.StatusCode())
+	a.ctx.SetContentType(string(response.Header.ContentType()))
+	if after := response.Header.Peek(fasthttp.HeaderRetryAfter); len(after) > 0 {
 		a.ctx.Response.Header.SetBytesV(fasthttp.HeaderRetryAfter, after)
 	}
 }
 
-// readHead reads the beginning of an answer: of a stream of events what comes
-// first, of any other as much as there is, up to size.
-func readHead(answer *exchange.Answer, size int, events bool) ([]byte, error) {
+// readHead reads the beginning of a response: the first part of an event stream, otherwise as much as there is, up to
+// size.
+func readHead(response *exchange.Answer, size int, events bool) ([]byte, error) {
 	buffer := make([]byte, 0, min(size, firstBuffer))
 	for len(buffer) < size {
 		if len(buffer) == cap(buffer) {
 			buffer = append(buffer, 0)[:len(buffer)]
 		}
-		n, err := answer.Read(buffer[len(buffer):min(cap(buffer), size)])
+		n, err := response.Read(buffer[len(buffer):min(cap(buffer), size)])
 		buffer = buffer[:len(buffer)+n]
 		if err != nil || events && n > 0 {
 			return buffer, err
@@ -300,18 +296,18 @@
 	return buffer, nil
 }
 
-// finished is called once the answer has been handed on, or has broken off.
+// finished is called after the response has been relayed or has failed.
 func (a *attempt) finished(tokens float64, ending core.Ending) {
-	a.held.Finish(tokens, ending)
+	a.scheduled.Finish(tokens, ending)
 	s := a.service
-	if a.streams {
+	if a.streaming {
 		defer s.open.Add(-1)
 	}
 	c := s.generation.InForce()
-	s.metrics.Share.Tokens.WithLabelValues(a.call.name, a.call.route.Name, c.Core.Policy.Name).Add(tokens + a.call.input)
+	s.metrics.Share.Tokens.WithLabelValues(a.call.accountName, a.call.route.Name, c.Core.Policy.Name).Add(tokens + a.call.input)
 	if ending == core.Done {
 		a.blame.Answered()
-		s.pace.observe(tokens, time.Since(a.sent))
+		s.rates.observe(tokens, time.Since(a.sentAt))
 		a.end("done")
 		return
 	}
@@ -319,17 +315,17 @@
 	a.end("broken")
 }
 
-// brokeOffBegun is called where the backend server broke off an answer of which part was handed on. It
-// may be called after the handler has returned.
-func (a *attempt) brokeOffBegun() {
+// recordBackendFailure is called if the backend server failed after part of the response was relayed. It may be called
+// after the handler has returned.
+func (a *attempt) recordBackendFailure() {
 	a.service.metrics.Front.Breaches.WithLabelValues(string(telemetry.BreachBackend)).Inc()
-	send := a.sentTo
+	send := a.lastSend
 	send.Begun = true
 	a.blame.BrokeOff(send)
 }
 
-// countUntaken returns what counts an answer that its caller took only a part of.
-func (a *attempt) countUntaken(conn net.Conn) func() {
+// callerStopCounter returns a function that counts a response of which the caller read only a part.
+func (a *attempt) callerStopCounter(conn net.Conn) func() {
 	breaches := a.service.metrics.Front.Breaches
 	return func() {
 		why := telemetry.BreachLeft
@@ -340,12 +336,12 @@
 	}
 }
 
-// unchanging returns what stays the same of the request when it comes again. Its parts are copied, as a
-// stream may break off after the handler has returned and its request is used again.
-func (a *attempt) unchanging() func() fingerprint.Request {
+// fingerprintInput returns the parts of the request that stay the same when it is repeated. They are copied if the
+// response is streamed, because a stream may fail after the handler has returned and its request is reused.
+func (a *attempt) fingerprintInput() func() fingerprint.Request {
 	method, path, body := a.ctx.Method(), a.ctx.RequestURI(), a.call.body
-	request := fingerprint.Request{Account: a.call.name, Method: method, Path: path, Body: body}
-	if a.call.eventsWish {
+	request := fingerprint.Request{Account: a.call.accountName, Method: method, Path: path, Body: body}
+	if a.call.stream {
 		request.Method, request.Path, request.Body = slices.Clone(method), slices.Clone(path), slices.Clone(body)
 	}
 	return func() fingerprint.Request { return request }
@@ -359,5 +355,5 @@
 
 func (a *attempt) end(outcome string) {
 	a.span.End()
-	a.service.metrics.Front.Requests.WithLabelValues(a.call.name, a.call.route.Name, outcome).Inc()
+	a.service.metrics.Front.Requests.WithLabelValues(a.call.accountName, a.call.route.Name, outcome).Inc()
 }
