--- a/gateway/screener.go
+++ b/gateway/screener.go
@@ -34,7 +34,7 @@
 
 // waitingConn is a new connection on which nothing has been received yet.
 type waitingConn struct {
-	conn  socket.Raw
+	conn  socket.FDConn
 	since time.Duration // by the clock that includes suspended time
 }
 
@@ -143,7 +143,7 @@
 
 // screen refuses the request received on a connection or hands the connection over. It reports whether anything was
 // received.
-func (sc *screener) screen(c socket.Raw) bool {
+func (sc *screener) screen(c socket.FDConn) bool {
 	n, err := c.Read(sc.buffer)
 	if err != nil {
 		_ = c.Close()
@@ -193,7 +193,7 @@
 
 // handOver passes a connection to the normal path, with the bytes read so far and the ticket of its first request if
 // that has been admitted.
-func (sc *screener) handOver(c socket.Raw, read []byte, admitted *admission.Ticket) {
+func (sc *screener) handOver(c socket.FDConn, read []byte, admitted *admission.Ticket) {
 	s := sc.service
 	conn, err := c.Conn(bytes.Clone(read))
 	if err != nil {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -167,7 +167,7 @@
 		}
 		_ = kept.Close()
 	}
-	dialer := net.Dialer{Timeout: c.dialTimeout, KeepAliveConfig: keepAlive, ControlContext: socket.GiveUpAfter(unacknowledged)}
+	dialer := net.Dialer{Timeout: c.dialTimeout, KeepAliveConfig: keepAlive, ControlContext: socket.UserTimeout(unacknowledged)}
 	raw, err := dialer.DialContext(ctx, "tcp", c.address)
 	if err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 // has ended, or carries bytes nobody asked for, is not used again.
 func (c *conn) usable() bool {
 	fresh := clock.System.Since(c.idle) <= c.rest && c.reader.Buffered() == 0
-	return fresh && socket.Look(c.Conn) == socket.Silent
+	return fresh && socket.Look(c.Conn) == socket.Idle
 }
 
 func (c *Client) takeIdle() *conn {
--- a/internal/socket/acceptor.go
+++ b/internal/socket/acceptor.go
@@ -10,19 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Acceptor takes connections of a listener in batches, by direct calls of the system. What it takes has neither an entry of
-// the poller nor a goroutine or an object of its own until Conn makes a connection of it, so that one which is only told to come
-// again costs the few calls that tell it.
+// Acceptor accepts connections of a listener in batches, by direct system calls. An FDConn needs no poller entry,
+// goroutine or object until Conn turns it into a net.Conn, so that refusing a request on it costs only a few system
+// calls.
 type Acceptor struct {
-	file    *os.File
-	raw     syscall.RawConn
-	bounded bool // the file has a deadline
+	file       *os.File
+	raw        syscall.RawConn
+	hasTimeout bool // a read deadline is set
 }
 
-// errNoDescriptor is the error for a listener that has no descriptor.
-var errNoDescriptor = errors.New("the listener has no descriptor")
+// errNoDescriptor is the error for a listener or connection without a file descriptor.
+var errNoDescriptor = errors.New("listener or connection has no file descriptor")
 
-// NewAcceptor returns an acceptor of a listener, which may go on taking connections as well. Both are closed on their own.
+// NewAcceptor returns an Acceptor for a TCP listener, which may still be used to accept connections. Each must be
+// closed separately.
 func NewAcceptor(l net.Listener) (*Acceptor, error) {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
@@ -39,20 +40,20 @@
 	return &Acceptor{file: file, raw: raw}, nil
 }
 
-// Close ends the acceptor, and a call of Accept that waits.
+// Close closes the acceptor, which unblocks a call of Accept.
 func (a *Acceptor) Close() error { return a.file.Close() }
 
-// Accept waits for a connection, and returns those that are there, up to a number; none where none has come within a time that is
-// above 0. It fails only once the acceptor is closed.
-func (a *Acceptor) Accept(most int, within time.Duration) ([]Raw, error) {
-	if err := a.waitAtMost(within); err != nil {
+// Accept waits for a connection and returns those that are ready, up to limit, or none if none arrives within the
+// timeout; 0 means no timeout. It fails only once the acceptor is closed.
+func (a *Acceptor) Accept(limit int, timeout time.Duration) ([]FDConn, error) {
+	if err := a.setTimeout(timeout); err != nil {
 		return nil, err
 	}
 	for {
-		var out []Raw
+		var out []FDConn
 		var failed error
 		err := a.raw.Read(func(listener uintptr) bool {
-			out, failed = acceptAll(int(listener), most)
+			out, failed = acceptAll(int(listener), limit)
 			return len(out) > 0 || !errors.Is(failed, unix.EAGAIN)
 		})
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -64,44 +65,46 @@
 		if len(out) > 0 {
 			return out, nil
 		}
-		time.Sleep(acceptAgain)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// waitAtMost sets how long the next call waits, 0 for as long as it takes.
-func (a *Acceptor) waitAtMost(within time.Duration) error {
-	if within == 0 && !a.bounded {
+// setTimeout sets the timeout of the next call, 0 for none.
+func (a *Acceptor) setTimeout(timeout time.Duration) error {
+	if timeout == 0 && !a.hasTimeout {
 		return nil
 	}
-	a.bounded = within > 0
-	if !a.bounded {
+	a.hasTimeout = timeout > 0
+	if !a.hasTimeout {
 		return a.file.SetReadDeadline(time.Time{})
 	}
-	return a.file.SetReadDeadline(time.Now().Add(within))
+	return a.file.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// acceptAll takes connections until there is none, or the number is reached. The error is that of the last call, nil where
-// the number was reached.
-func acceptAll(listener, most int) ([]Raw, error) {
-	var out []Raw
-	for len(out) < most {
+// acceptAll accepts connections until none is ready or the limit is reached. The error is that of the last system call,
+// nil if the limit was reached.
+func acceptAll(listener, limit int) ([]FDConn, error) {
+	var out []FDConn
+	for len(out) < limit {
 		fd, _, err := unix.Accept4(listener, unix.SOCK_CLOEXEC)
 		switch {
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 		case err != nil:
 			return out, err
 		default:
-			out = append(out, Raw(fd))
+			out = append(out, FDConn(fd))
 		}
 	}
 	return out, nil
 }
 
-// Raw is a connection of which nothing is known but its descriptor. Its calls never wait, and one goroutine makes them.
-type Raw int
+// FDConn is a TCP connection as a plain file descriptor. Its methods never block; it must be used by one goroutine at
+// a time.
+type FDConn int
 
-// Read reads what has come; it returns 0 where nothing has, and an error where the other side has ended its connection.
-func (c Raw) Read(b []byte) (int, error) {
+// Read reads the available data. It returns 0 if there is none, and an error if the other side has closed the
+// connection.
+func (c FDConn) Read(b []byte) (int, error) {
 	n, _, err := unix.Recvfrom(int(c), b, unix.MSG_DONTWAIT)
 	switch {
 	case errors.Is(err, unix.EAGAIN):
@@ -114,17 +117,20 @@
 	return n, nil
 }
 
-// Write writes all of a short text, or fails.
-func (c Raw) Write(b []byte) error { return unix.Send(int(c), b, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL) }
+// Write sends a short message whole, or fails.
+func (c FDConn) Write(b []byte) error {
+	return unix.Send(int(c), b, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+}
 
-// CloseWrite ends what is written, and leaves the connection open for what still comes.
-func (c Raw) CloseWrite() error { return unix.Shutdown(int(c), unix.SHUT_WR) }
+// CloseWrite closes the write side of the connection.
+func (c FDConn) CloseWrite() error { return unix.Shutdown(int(c), unix.SHUT_WR) }
 
 // Close closes the connection.
-func (c Raw) Close() error { return unix.Close(int(c)) }
+func (c FDConn) Close() error { return unix.Close(int(c)) }
 
-// Conn makes an ordinary connection of it, which returns first what was read already. The raw one is closed in any case.
-func (c Raw) Conn(read []byte) (net.Conn, error) {
+// Conn turns the descriptor into a net.Conn that first returns the data already read. The FDConn is closed in any
+// case.
+func (c FDConn) Conn(read []byte) (net.Conn, error) {
 	file := os.NewFile(uintptr(c), "")
 	conn, err := net.FileConn(file)
 	err = errors.Join(err, file.Close())
@@ -138,17 +144,17 @@
 	if err := tcp.SetKeepAlive(false); err != nil {
 		return nil, errors.Join(err, tcp.Close())
 	}
-	return &begunConn{TCPConn: tcp, read: read}, nil
+	return &prefixedConn{TCPConn: tcp, read: read}, nil
 }
 
-// begunConn is a connection of which something was read before.
-type begunConn struct {
+// prefixedConn is a connection that first returns data read before.
+type prefixedConn struct {
 	*net.TCPConn
 	read []byte
 }
 
 // Read implements io.Reader.
-func (c *begunConn) Read(b []byte) (int, error) {
+func (c *prefixedConn) Read(b []byte) (int, error) {
 	if len(c.read) == 0 {
 		return c.TCPConn.Read(b)
 	}
--- a/internal/socket/acceptor_test.go
+++ b/internal/socket/acceptor_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// acceptorOf returns a listener's acceptor, and a function that connects to it.
-func acceptorOf(t *testing.T) (*Acceptor, func() net.Conn) {
+// newTestAcceptor returns an acceptor and a function that connects to its listener.
+func newTestAcceptor(t *testing.T) (*Acceptor, func() net.Conn) {
 	t.Helper()
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,8 +29,8 @@
 	}
 }
 
-// readSome reads what comes on a raw connection until something has.
-func readSome(t *testing.T, c Raw, b []byte) int {
+// readSome reads from a raw connection until some data is available.
+func readSome(t *testing.T, c FDConn, b []byte) int {
 	t.Helper()
 	for {
 		n, err := c.Read(b)
@@ -44,11 +44,11 @@
 	}
 }
 
-// TestRawConnectionsAnswerByThemselves answers a request on each of several connections and closes them: each caller gets the
-// whole answer and an end in order.
-func TestRawConnectionsAnswerByThemselves(t *testing.T) {
+// TestFDConnsAnswer answers a request on each of several connections and closes them: each caller must receive the
+// whole response and an orderly end of the connection.
+func TestFDConnsAnswer(t *testing.T) {
 	is := is.New(t)
-	a, dial := acceptorOf(t)
+	a, dial := newTestAcceptor(t)
 	const callers = 5
 	var conns []net.Conn
 	for range callers {
@@ -74,10 +74,10 @@
 	}
 }
 
-// TestOrdinaryConnectionOfARawOne reads what was read before and what comes after, and keeps its deadlines.
-func TestOrdinaryConnectionOfARawOne(t *testing.T) {
+// TestConnOfFDConn reads data received before and after the conversion, and checks that deadlines work.
+func TestConnOfFDConn(t *testing.T) {
 	is := is.New(t)
-	a, dial := acceptorOf(t)
+	a, dial := newTestAcceptor(t)
 	caller := dial()
 	_, err := io.WriteString(caller, "first")
 	is.NoErr(err)
@@ -94,16 +94,16 @@
 	_, err = io.ReadFull(c, text)
 	is.NoErr(err)
 	is.Equal(string(text), "firstsecond")
-	is.Equal(Look(c), Silent)
+	is.Equal(Look(c), Idle)
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Millisecond)))
 	_, err = c.Read(text)
 	is.True(errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-// TestRawConnectionTellsItsEnd tells a connection on which nothing has come from one that has ended.
-func TestRawConnectionTellsItsEnd(t *testing.T) {
+// TestFDConnReportsItsEnd distinguishes a connection without data from a closed one.
+func TestFDConnReportsItsEnd(t *testing.T) {
 	is := is.New(t)
-	a, dial := acceptorOf(t)
+	a, dial := newTestAcceptor(t)
 	caller := dial()
 	batch, err := a.Accept(1, 0)
 	is.NoErr(err)
@@ -118,10 +118,11 @@
 	is.NoErr(batch[0].Close())
 }
 
-// TestAcceptorWaitsNoLongerThanItMay returns without a connection once its time is over, and waits for as long as it takes after that.
-func TestAcceptorWaitsNoLongerThanItMay(t *testing.T) {
+// TestAcceptTimeout checks that Accept returns without a connection after its timeout, and that the timeout doesn't
+// affect the next call.
+func TestAcceptTimeout(t *testing.T) {
 	is := is.New(t)
-	a, dial := acceptorOf(t)
+	a, dial := newTestAcceptor(t)
 	batch, err := a.Accept(1, time.Millisecond)
 	is.NoErr(err)
 	is.Equal(len(batch), 0)
@@ -132,9 +133,9 @@
 	is.NoErr(batch[0].Close())
 }
 
-func TestClosedAcceptorWaitsNoMore(t *testing.T) {
+func TestCloseUnblocksAccept(t *testing.T) {
 	is := is.New(t)
-	a, _ := acceptorOf(t)
+	a, _ := newTestAcceptor(t)
 	ended := make(chan error)
 	go func() {
 		_, err := a.Accept(1, 0)
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// acceptAgain is how long a listener rests that can't take a connection.
-const acceptAgain = 20 * time.Millisecond
+// acceptRetryDelay is the delay after a failure to accept a connection.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// Patient is a listener that outlasts failures to take a connection. Servers that give up at
-// the first of them are deaf for good once the process has been out of descriptors for a
-// moment.
+// Patient is a listener that retries when accepting a connection fails. Servers that stop at the first failure accept
+// no more connections once the process has run out of file descriptors for a moment.
 type Patient struct{ net.Listener }
 
 // Accept implements net.Listener. It fails only once the listener is closed.
@@ -21,6 +20,6 @@
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return c, err
 		}
-		time.Sleep(acceptAgain)
+		time.Sleep(acceptRetryDelay)
 	}
 }
--- a/internal/socket/listen_test.go
+++ b/internal/socket/listen_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// failing is a listener that has no descriptor for its first connections.
+// failing is a listener whose first calls of Accept fail for lack of file descriptors.
 type failing struct {
 	net.Listener
 	failures int
@@ -22,8 +22,8 @@
 	return l.Listener.Accept()
 }
 
-// TestPatientOutlastsExhaustion takes a connection after failures, and ends when closed.
-func TestPatientOutlastsExhaustion(t *testing.T) {
+// TestPatientRetries accepts a connection after failures, and fails once the listener is closed.
+func TestPatientRetries(t *testing.T) {
 	is := is.New(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket tells the state of a connection without reading from it, and sets how long
-// one may go unacknowledged.
+// Package socket determines the state of a connection without reading from it, sets how long written data may remain
+// unacknowledged, and accepts connections.
 package socket
 
 import (
@@ -12,30 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// GiveUpAfter returns a net.Dialer's ControlContext under which a connection fails once what
-// was written to it has not been acknowledged for so long.
-func GiveUpAfter(long time.Duration) func(ctx context.Context, network, address string, c syscall.RawConn) error {
+// UserTimeout returns a net.Dialer's ControlContext that sets TCP_USER_TIMEOUT: a connection fails once written data
+// has remained unacknowledged for the given time.
+func UserTimeout(timeout time.Duration) func(ctx context.Context, network, address string, c syscall.RawConn) error {
 	return func(_ context.Context, _, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(long.Milliseconds()))
+			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
 		return errors.Join(err, failed)
 	}
 }
 
-// State is what the other side of a connection has done.
+// State is the state of a connection as seen from this side.
 type State uint8
 
 // The states of a connection.
 const (
-	Silent  State = iota // open, with nothing to read
-	Talking              // open, with something to read
-	Ended                // closed by the other side, or broken
+	Idle     State = iota // open, without unread data
+	Readable              // open, with unread data
+	Ended                 // closed by the other side, or failed
 )
 
-// Look returns the state of a TCP connection; one that can't be looked at
-// counts as ended.
+// Look returns the state of a TCP connection, Ended if it can't be determined.
 func Look(c net.Conn) State {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -46,15 +45,15 @@
 		return Ended
 	}
 	state := Ended
-	// Not by Read, which would wait for another goroutine that reads.
+	// Read would wait for a concurrent read by another goroutine.
 	err = control.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, peekErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(peekErr, syscall.EAGAIN):
-			state = Silent
+			state = Idle
 		case peekErr == nil && n > 0:
-			state = Talking
+			state = Readable
 		}
 	})
 	if err != nil {
