--- a/internal/exchange/answer.go
+++ b/internal/exchange/answer.go
@@ -33,7 +33,7 @@
 // exchange writes the request and reads the head of its answer.
 func (a *Answer) exchange(req *fasthttp.Request) error {
 	a.conn.wrote.Store(false)
-	a.conn.SetPatience(a.options.Patient)
+	a.conn.SetTimeout(a.options.Patient)
 	if err := a.conn.SetReadDeadline(time.Now().Add(a.options.Patient)); err != nil {
 		return err
 	}
--- a/internal/stall/only_test.go
+++ b/internal/stall/only_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// TestNobodyElseSetsDeadlinesOfWrites guards against a deadline of a write that is set outside this package, and that the
-// next write would meet.
-func TestNobodyElseSetsDeadlinesOfWrites(t *testing.T) {
+// TestOnlyStallSetsWriteDeadlines guards against a write deadline set outside this package, which would still apply to
+// the next write.
+func TestOnlyStallSetsWriteDeadlines(t *testing.T) {
 	is := is.New(t)
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -31,7 +31,7 @@
 	is.NoErr(err)
 }
 
-// checkDeadlines reports each call in a file that sets the deadline of a write.
+// checkDeadlines reports each use of a method that sets a write deadline.
 func checkDeadlines(t *testing.T, path string) error {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, 0)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,31 +1,32 @@
-// Package stall bounds how long the other side of a connection may take nothing of what is written to it.
+// Package stall provides connections whose writes fail once the other side has acknowledged nothing for a while.
 //
-// The deadline of a net.Conn holds until another one is set, so that one which an exchange leaves behind ends the
-// next, however soon that is written. A Conn sets its own for each write and lets none be set from outside. A
-// write is bounded by progress, not by its size: it goes on for as long as the other side acknowledges something.
+// The deadline of a net.Conn applies until another one is set, so that a deadline left behind by one exchange would
+// fail the next, however much later that is written. A Conn sets its own deadline for each write and ignores those set
+// by its users. A write is limited by its progress, not by its size: it continues for as long as the other side
+// acknowledges data.
 //
-// Who may take how long, from when, and what happens then:
+// The time limits of the router's connections:
 //
-//	connection                | operation            | bound                            | from            | then
-//	--------------------------|----------------------|----------------------------------|-----------------|---------------------
-//	caller, passed through    | rest                 | the configuration's idle time    | answer before   | closed
-//	                          | read a header        | the configuration's header time  | first byte      | closed
-//	                          | read a body          | 30 s                             | header          | closed
-//	                          | write                | the setting caller-stall-seconds | last progress   | reset
-//	                          | write, turned away   | 0.5 s without progress           | last progress   | closed
-//	caller, operator, product | rest                 | 60 s                             | answer before   | closed
-//	                          | read a request       | 30 s                             | first byte      | closed
-//	                          | write                | as above (operators: 10 s)       | last progress   | closed
-//	backend server, store     | connect              | 0.5 s; the store 1 s             | begin           | "not sent"
-//	                          | write                | its patience; 2.5 s unacknowledged | last progress | "sent"
-//	                          | read a head          | the exchange's patience          | begin           | "sent"
-//	                          | read part of a body  | the exchange's patience          | part before     | broken off
-//	                          | all of it            | the request's own time           | arrival         | closed
-//	router                    | handshake            | 2 s for all that is read         | begin           | closed
-//	                          | write                | 2 s without progress             | last progress   | closed
+//	connection                | operation            | limit                              | from            | on expiry
+//	--------------------------|----------------------|------------------------------------|-----------------|---------------------
+//	caller, package gateway   | idle                 | the configuration's idle timeout   | last response   | closed
+//	                          | read a header        | the configuration's header timeout | first byte      | closed
+//	                          | read a body          | 30 s                               | header          | closed
+//	                          | write                | the setting caller-stall-seconds   | last progress   | reset
+//	                          | write, rejected      | 0.5 s without progress             | last progress   | closed
+//	caller, package front;    | idle                 | 60 s                               | last response   | closed
+//	operator                  | read a request       | 30 s                               | first byte      | closed
+//	                          | write                | as above (operators: 10 s)         | last progress   | closed
+//	backend server, store     | connect              | 0.5 s; the store 1 s               | start           | "not sent"
+//	                          | write                | the exchange's timeout; 2.5 s unacknowledged | last progress | "sent"
+//	                          | read a head          | the exchange's timeout             | start           | "sent"
+//	                          | read part of a body  | the exchange's timeout             | previous part   | truncated
+//	                          | whole exchange       | the request's deadline             | arrival         | closed
+//	router                    | handshake            | 2 s for all reads                  | start           | closed
+//	                          | write                | 2 s without progress               | last progress   | closed
 //
-// All of these count the time in which the machine runs: after a suspension the other side has as long as it had
-// left before. Times that count a suspension are those of package clock.
+// All of these limits exclude the time for which the VM is suspended: after a suspension the other side has as much
+// time left as before. Package clock provides times that include suspension.
 package stall
 
 import (
@@ -39,43 +40,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// looks is how often progress is looked for in the time that there may be none.
-const looks = 4
+// checksPerTimeout is how often progress is checked within the timeout.
+const checksPerTimeout = 4
 
-// Error is the error for a write of which the other side took nothing for too long.
+// Error is the error for a write during which the other side acknowledged nothing for too long.
 type Error struct {
-	Taken int           // bytes of the write that the system took
-	For   time.Duration // how long the other side acknowledged nothing, at least
-	From  net.Addr      // of this side
-	To    net.Addr      // of the other side
+	Written int           // bytes of the write accepted by the kernel
+	For     time.Duration // minimum time without an acknowledgement
+	From    net.Addr      // local address
+	To      net.Addr      // remote address
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	return fmt.Sprintf("write %v->%v: nothing was acknowledged for %v, %d bytes into it", e.From, e.To, e.For, e.Taken)
+	return fmt.Sprintf("write %v->%v: nothing was acknowledged for %v, %d bytes into it", e.From, e.To, e.For, e.Written)
 }
 
-// Timeout tells that a time has run out, as net.Error does.
+// Timeout returns true, as the method of net.Error does for time-outs.
 func (e *Error) Timeout() bool { return true }
 
-// Unwrap returns the error of a deadline that has passed.
+// Unwrap returns os.ErrDeadlineExceeded.
 func (e *Error) Unwrap() error { return os.ErrDeadlineExceeded }
 
-// Conn is a connection whose writes fail once the other side has taken nothing for too long. One goroutine at a
-// time writes to it.
+// Conn is a connection whose writes fail once the other side has acknowledged nothing for the timeout. Only one
+// goroutine at a time may write to it.
 type Conn struct {
 	net.Conn
-	patience time.Duration
-	stalled  bool
+	timeout time.Duration
+	stalled bool
 }
 
-// New returns a connection whose writes may go without progress for so long.
-func New(c net.Conn, patience time.Duration) *Conn { return &Conn{Conn: c, patience: patience} }
+// New returns a Conn whose writes fail after the given time without progress.
+func New(c net.Conn, timeout time.Duration) *Conn { return &Conn{Conn: c, timeout: timeout} }
 
-// SetPatience sets how long writes may go without progress from now on.
-func (c *Conn) SetPatience(patience time.Duration) { c.patience = patience }
+// SetTimeout sets how long later writes may make no progress.
+func (c *Conn) SetTimeout(timeout time.Duration) { c.timeout = timeout }
 
-// SetDeadline sets the deadline of reading; writes have their own.
+// SetDeadline sets the read deadline; writes have their own.
 func (c *Conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // SetWriteDeadline does nothing: each write has a deadline of its own.
@@ -90,7 +91,7 @@
 	})
 }
 
-// WriteBuffers writes buffers at once, and lets go of each as the system has taken it.
+// WriteBuffers writes buffers with as few system calls as possible and releases each once the kernel has accepted it.
 func (c *Conn) WriteBuffers(buffers *net.Buffers) (int, error) {
 	return c.write(func() (int, error) {
 		n, err := buffers.WriteTo(c.Conn)
@@ -98,52 +99,54 @@
 	})
 }
 
-// write calls part, which writes what is left, until it is done or the other side has taken nothing for too long.
+// write calls part, which writes the remaining data, until all is written or the other side has acknowledged nothing
+// for the timeout.
 func (c *Conn) write(part func() (int, error)) (int, error) {
-	taken := 0
-	still := progress{}
+	written := 0
+	acks := progress{}
 	for {
-		if err := c.Conn.SetWriteDeadline(time.Now().Add(c.patience / looks)); err != nil {
-			return taken, err
+		if err := c.Conn.SetWriteDeadline(time.Now().Add(c.timeout / checksPerTimeout)); err != nil {
+			return written, err
 		}
 		n, err := part()
-		taken += n
+		written += n
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			return taken, err
+			return written, err
 		}
-		if missed := still.missed(n, c.unacknowledged()); missed >= looks {
+		if missed := acks.update(n, c.unacknowledged()); missed >= checksPerTimeout {
 			c.stalled = true
-			return taken, &Error{Taken: taken, For: c.patience, From: c.LocalAddr(), To: c.RemoteAddr()}
+			return written, &Error{Written: written, For: c.timeout, From: c.LocalAddr(), To: c.RemoteAddr()}
 		}
 	}
 }
 
-// Stalled tells whether a write has failed as the other side took nothing. It is for who writes.
+// Stalled reports whether a write has failed for lack of progress. It must be called by the writing goroutine.
 func (c *Conn) Stalled() bool { return c.stalled }
 
-// progress counts for how many looks in a row nothing was acknowledged.
+// progress counts consecutive checks without an acknowledgement.
 type progress struct {
-	queued int // bytes that were unacknowledged at the last look, 0 for none yet
-	looks  int
+	queued int // unacknowledged bytes at the last check, 0 before the first
+	checks int
 }
 
-// missed takes what the system has taken since the last look, and how much is unacknowledged now, -1 where it
-// can't be told. It returns how many looks in a row have shown no progress.
-func (p *progress) missed(taken, queued int) int {
-	acknowledged := taken > 0
+// update takes the number of bytes accepted by the kernel since the last check and of those unacknowledged now, -1 if
+// unknown. It returns the number of consecutive checks without progress.
+func (p *progress) update(accepted, queued int) int {
+	acknowledged := accepted > 0
 	if queued >= 0 {
 		acknowledged = acknowledged || queued < p.queued
 		p.queued = queued
 	}
-	p.looks++
+	p.checks++
 	if acknowledged {
-		p.looks = 0
+		p.checks = 0
 	}
-	return p.looks
+	return p.checks
 }
 
-// unacknowledged returns how many bytes the other side hasn't acknowledged, -1 where it can't be told. Of a slow
-// reader the system takes nothing for long, in spite of progress, as it frees its buffer in large pieces.
+// unacknowledged returns the number of sent bytes that the other side hasn't acknowledged, -1 if unknown. Bytes
+// accepted by the kernel don't suffice as a sign of progress: with a slow reader it accepts nothing for a long time,
+// because it frees its send buffer in large pieces.
 func (c *Conn) unacknowledged() int {
 	out := -1
 	control, err := c.SyscallConn()
@@ -158,8 +161,8 @@
 	return out
 }
 
-// errNoDescriptor is the error for a connection without a descriptor.
-var errNoDescriptor = errors.New("the connection has no descriptor")
+// errNoDescriptor is the error for a connection without a file descriptor.
+var errNoDescriptor = errors.New("connection has no file descriptor")
 
 // SyscallConn implements syscall.Conn.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
@@ -170,7 +173,7 @@
 	return raw.SyscallConn()
 }
 
-// CloseWrite ends what is written, and leaves reading open.
+// CloseWrite closes the write side of the connection.
 func (c *Conn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -179,7 +182,7 @@
 	return half.CloseWrite()
 }
 
-// Abort closes the connection at once by a reset: the other side can't take what it has got for a whole answer.
+// Abort resets the connection, so that the other side can't take the data received so far for a whole response.
 func (c *Conn) Abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -187,10 +190,10 @@
 	_ = c.Close()
 }
 
-// Listener is a listener of connections whose writes are bounded.
+// Listener is a listener whose connections have a write timeout.
 type Listener struct {
 	net.Listener
-	Patience time.Duration // how long their writes may go without progress
+	Patience time.Duration // how long their writes may make no progress
 }
 
 // Accept implements net.Listener.
