--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for some time, unless a context ends.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// For waits for so long, or until the context ends, whose error it returns then.
-func For(ctx context.Context, long time.Duration) error {
-	if long <= 0 {
+// For waits for the given time. It returns the context's error if ctx is done first.
+func For(ctx context.Context, d time.Duration) error {
+	if d <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(long)
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,7 +1,7 @@
-// Package retryafter reads the HTTP header Retry-After, by which a server says for how long it wants nothing.
+// Package retryafter parses the HTTP header Retry-After, by which a server says for how long it wants no requests.
 //
-// HTTP allows a number of seconds (RFC 9110, 10.2.3) and a date. Only numbers are taken, fractions included: a
-// date says something only to whoever trusts that two machines' clocks agree.
+// HTTP allows a number of seconds (RFC 9110, 10.2.3) or a date. Only numbers are accepted, including fractions: a date
+// is only meaningful if the clocks of both VMs agree.
 package retryafter
 
 import (
@@ -13,27 +13,27 @@
 	"github.com/joomcode/errorx"
 )
 
-// Longest is the longest time that is heeded; whoever asks for more gets this. A server that asks for a year
-// by mistake is asked again after it.
+// Longest is the longest time that Parse returns; larger values are reduced to it, so that a server that says a year by
+// mistake receives requests again after this time.
 const Longest = 10 * time.Minute
 
-// The errors of a value that says nothing.
+// The errors of Parse.
 var (
 	namespace = errorx.NewNamespace("retryafter")
 	// Unreadable is the error for a value that isn't a number of seconds.
 	Unreadable = namespace.NewType("unreadable")
-	// NotPositive is the error for a number that isn't above zero.
+	// NotPositive is the error for a number that isn't positive.
 	NotPositive = namespace.NewType("not_positive")
 )
 
-// Parse returns the time that a value of the header stands for, which is at most Longest.
+// Parse returns the duration given by a value of the header, at most Longest.
 func Parse(value string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(seconds) {
 		return 0, Unreadable.New("%q isn't a number of seconds", value)
 	}
 	if seconds <= 0 {
-		return 0, NotPositive.New("%q isn't above zero", value)
+		return 0, NotPositive.New("%q isn't positive", value)
 	}
 	if seconds >= Longest.Seconds() {
 		return Longest, nil
