--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -88,8 +88,8 @@
 	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBuffer) }}
 )
 
-func newCallerConn(c net.Conn, headerBytes int, writeStall time.Duration) *callerConn {
-	out := &callerConn{Conn: stall.New(c, writeStall), writer: writers.Get().(*bufio.Writer)}
+func newCallerConn(c net.Conn, headerBytes int, writeTimeout time.Duration) *callerConn {
+	out := &callerConn{Conn: stall.New(c, writeTimeout), writer: writers.Get().(*bufio.Writer)}
 	out.writer.Reset(out)
 	if reader, ok := readers.Get().(*bufio.Reader); ok && reader.Size() == headerBytes {
 		reader.Reset(c)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,7 +47,7 @@
 
 // Settings configures a Service.
 type Settings struct {
-	Listen   string
+	Listen   string // IP address and port
 	DataHall string // the data hall of this router
 	Dialect  Dialect
 	// MaxRequests is the number of requests served at once; further ones are refused.
--- a/gateway/screener.go
+++ b/gateway/screener.go
@@ -111,8 +111,8 @@
 
 // closeWaiting closes the waiting connections.
 func (sc *screener) closeWaiting() {
-	for _, e := range sc.waiting {
-		_ = e.conn.Close()
+	for _, w := range sc.waiting {
+		_ = w.conn.Close()
 	}
 	sc.waiting = nil
 }
@@ -121,22 +121,22 @@
 func (sc *screener) recheckWaiting(now time.Duration) {
 	waiting := sc.waiting
 	sc.waiting = sc.waiting[:0]
-	for i, e := range waiting {
-		if sc.screen(e.conn) {
+	for i, w := range waiting {
+		if sc.screen(w.conn) {
 			continue
 		}
-		if now-e.since < maxDataWait && len(waiting)-i <= maxWaiting {
-			sc.waiting = append(sc.waiting, e)
+		if now-w.since < maxDataWait && len(waiting)-i <= maxWaiting {
+			sc.waiting = append(sc.waiting, w)
 			continue
 		}
-		sc.handOver(e.conn, nil, nil)
+		sc.handOver(w.conn, nil, nil)
 	}
 }
 
 // handOverWaiting hands over all waiting connections.
 func (sc *screener) handOverWaiting() {
-	for _, e := range sc.waiting {
-		sc.handOver(e.conn, nil, nil)
+	for _, w := range sc.waiting {
+		sc.handOver(w.conn, nil, nil)
 	}
 	sc.waiting = sc.waiting[:0]
 }
