--- a/generation/apply.go
+++ b/generation/apply.go
@@ -15,21 +15,21 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// Apply is a request to put a new configuration in force.
+// Apply is a request to bring a new configuration into force.
 type Apply struct {
-	ID   string // the same for every try of one apply
-	Base uint64 // the generation that it builds on
+	ID   string // the same for each attempt of an apply
+	Base uint64 // generation that it is based on
 	Text []byte
 }
 
-// NewApplyID returns an identifier that no other apply has.
+// NewApplyID returns a unique identifier.
 func NewApplyID() string { return rand.Text() }
 
-// Apply swaps the configuration in the store, and returns its generation. It
-// is accepted once the store has it. Findings are returned as an error.
+// Apply swaps the configuration in the store and returns its generation. The configuration is accepted once the store
+// has it. Findings are returned as an error.
 func (s *Service) Apply(ctx context.Context, a Apply) (uint64, error) {
-	if s.foreign {
-		return 0, Foreign.New("the configuration is put into the store by others")
+	if s.readOnly {
+		return 0, ReadOnly.New("the configuration is written to the store by another system")
 	}
 	_, findings := checks.File("configuration", a.Text)
 	if err := findings.Err(); err != nil {
@@ -46,7 +46,7 @@
 		select {
 		case <-ctx.Done():
 			if sent {
-				return 0, Unknown.New("the store's answer is lost and it can't be read back")
+				return 0, Unknown.New("the store's response was lost and the configuration can't be read back")
 			}
 			return 0, store.Unavailable.Wrap(err, "nothing was applied")
 		case <-time.After(retryPause):
@@ -54,10 +54,9 @@
 	}
 }
 
-// tryApply reads the store and swaps. done tells whether the outcome is known.
-// A swap whose answer was lost is settled by the next try: either the apply's
-// identifier is there, or the swap is made again on the same revision, which
-// only one of the two can win.
+// tryApply reads the store and swaps. done reports whether the outcome is determined. The next attempt resolves a
+// swap whose response was lost: either the document contains the apply's identifier, or the swap is made again on the
+// same revision, and only one of the two can succeed.
 func (s *Service) tryApply(ctx context.Context, a Apply, sent *bool) (generation uint64, done bool, err error) {
 	s.metrics.StoreCalls.WithLabelValues("get").Inc()
 	v, err := s.store.Get(ctx, Key)
@@ -66,7 +65,7 @@
 	}
 	before := &wire.Document{}
 	if err := proto.Unmarshal(v.Data, before); err != nil {
-		return 0, true, config.Corrupt.Wrap(err, "the store's configuration can't be read")
+		return 0, true, config.Corrupt.Wrap(err, "the store's configuration can't be decoded")
 	}
 	if slices.Contains(before.Applies, a.ID) {
 		s.installValue(v)
--- a/generation/catalog.go
+++ b/generation/catalog.go
@@ -13,43 +13,42 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// Discovery is where backend servers announce themselves. Each announcement has
-// a key; what it announces may change, and it may be taken back.
+// Discovery is the source of the announcements of backend servers. Each announcement has a key; its content may
+// change, and it may be withdrawn.
 type Discovery interface {
-	// List returns all announcements, and the revision they are of. A stale list may be
-	// seconds old, and costs less.
+	// List returns all announcements and their revision. A stale list may be seconds old and costs less.
 	List(ctx context.Context, stale bool) ([]Announcement, uint64, error)
-	// Changes waits for changes after a revision, and returns them with the
-	// revision up to which they are complete. The error is of type store.Forgotten where
-	// the changes aren't known any more, and all must be listed anew.
+	// Changes waits for changes after a revision and returns them with the revision up to which they are complete.
+	// The error is of type store.Forgotten if the changes are no longer available and all announcements must be
+	// listed again.
 	Changes(ctx context.Context, revision uint64) ([]Announcement, uint64, error)
 }
 
-// Announcement is what one key announces.
+// Announcement is the state of one key.
 type Announcement struct {
 	Key      string
 	Revision uint64
-	// Backend is nil where the announcement was taken back, or can't be read.
+	// Backend is nil if the announcement was withdrawn or cannot be read.
 	Backend *config.Discovered
-	// Problem is why it can't be read, nil where it can or was taken back.
+	// Problem is the reason why the announcement cannot be read, nil if it can or was withdrawn.
 	Problem error
 }
 
-// catalog is what is known of the backend servers that announce themselves.
+// catalog is the state of the backend servers that announce themselves.
 type catalog struct {
 	discovery Discovery
 	held      *wire.Catalog
-	entries   map[string]*wire.CatalogEntry // by key, of the last list that was read here
-	at        uint64                        // up to which the changes were seen here
+	entries   map[string]*wire.CatalogEntry // by key, from the last list and the changes since
+	watchedTo uint64                        // revision up to which changes were received
 	lapsed    lapsed
 	history   history
-	edition   uint64 // raised when what is kept beside the catalog changes by itself
-	era       uint32 // of what is in force
+	edition   uint64 // incremented when the lapsed entries change while the catalog does not
+	era       uint32 // of the catalog in force
 	settling  settling
-	departed  map[string]time.Time // when those went that are gone
+	departed  map[string]time.Time // time of removal, by name of the backend server
 }
 
-// readCatalog lists the announcements, and tells whether that was possible.
+// readCatalog lists the announcements and reports whether that succeeded.
 func (s *Service) readCatalog() bool {
 	if s.catalog.discovery == nil {
 		return true
@@ -59,9 +58,9 @@
 
 func (s *Service) listCatalog(ctx context.Context, stale bool) error {
 	s.metrics.StoreCalls.WithLabelValues("list").Inc()
-	wait, done := s.unlessBack(ctx)
+	callCtx, done := s.withStoreCalls(ctx)
 	defer done()
-	all, at, err := s.catalog.discovery.List(wait, stale)
+	all, at, err := s.catalog.discovery.List(callCtx, stale)
 	if err != nil {
 		s.metrics.StoreFailures.WithLabelValues("list").Inc()
 		return err
@@ -70,78 +69,77 @@
 	defer s.mu.Unlock()
 	before := s.catalog.entries
 	s.catalog.entries = map[string]*wire.CatalogEntry{}
-	s.catalog.at = at
+	s.catalog.watchedTo = at
 	if stale {
 		s.catalog.era = max(s.catalog.era, eraOf(at))
-		at = startRevision(at)
+		at = initialRevision(at)
 	} else {
 		s.settleCatalog(all, at)
 	}
-	s.takeAnnouncements(all, at, before)
+	s.applyAnnouncements(all, at, before)
 	return nil
 }
 
-// watchCatalog follows the announcements while this router is one of those
-// that watch the store.
+// watchCatalog receives changes of the announcements until ctx ends. It runs while this router is one of those that
+// watch the store.
 func (s *Service) watchCatalog(ctx context.Context) {
 	defer s.ended.Done()
 	if s.catalog.discovery == nil {
 		return
 	}
-	rest(ctx, watchSettle-time.Since(s.began))
+	sleep(ctx, watchStartDelay-time.Since(s.began))
 	var p pace
 	for ctx.Err() == nil {
 		err := s.listCatalog(ctx, false)
 		for err == nil && ctx.Err() == nil {
-			err = s.followCatalog(ctx, &p)
+			err = s.watchCatalogOnce(ctx, &p)
 		}
-		s.restUnlessBack(ctx, p.afterFailure())
+		s.sleepUnlessCanceled(ctx, p.afterFailure())
 	}
 }
 
-// followCatalog waits for changes and takes them. It fails only where all must be listed
-// anew: while the store is out, the watch goes on from where it was.
-func (s *Service) followCatalog(ctx context.Context, p *pace) error {
+// watchCatalogOnce waits for changes and applies them. It fails only if all announcements must be listed again: while
+// the store is unavailable, the watch continues from the same revision.
+func (s *Service) watchCatalogOnce(ctx context.Context, p *pace) error {
 	began := time.Now()
 	s.mu.Lock()
-	since := s.catalog.at
+	since := s.catalog.watchedTo
 	s.mu.Unlock()
 	s.metrics.StoreCalls.WithLabelValues("watch").Inc()
-	wait, done := s.unlessBack(ctx)
+	callCtx, done := s.withStoreCalls(ctx)
 	defer done()
-	changes, at, err := s.catalog.discovery.Changes(wait, since)
-	s.noteWatch(wait, watchEnded{of: "backend-servers", began: began, since: since, changes: len(changes), err: err})
+	changes, at, err := s.catalog.discovery.Changes(callCtx, since)
+	s.logWatch(callCtx, watchEnded{of: "backend-servers", began: began, since: since, changes: len(changes), err: err})
 	if err != nil {
 		s.metrics.StoreFailures.WithLabelValues("watch").Inc()
 		if errorx.IsOfType(err, store.Forgotten) {
 			return err
 		}
-		rest(wait, p.afterFailure())
+		sleep(callCtx, p.afterFailure())
 		return nil
 	}
-	defer func() { rest(ctx, p.afterChange(time.Since(began))) }()
+	defer func() { sleep(ctx, p.afterChange(time.Since(began))) }()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.catalog.at = max(s.catalog.at, at)
+	s.catalog.watchedTo = max(s.catalog.watchedTo, at)
 	last := uint64(0)
 	for _, change := range changes {
 		last = max(last, change.Revision)
-		s.noteWritten(change)
+		s.recordWritten(change)
 	}
-	s.takeAnnouncements(changes, last, s.catalog.entries)
+	s.applyAnnouncements(changes, last, s.catalog.entries)
 	return nil
 }
 
-// takeAnnouncements brings announcements into the catalog, which then is of the
-// given revision where anything changed; before are the entries as they were. The caller holds
-// the lock.
-func (s *Service) takeAnnouncements(changes []Announcement, revision uint64, before map[string]*wire.CatalogEntry) {
+// applyAnnouncements updates the catalog from announcements. The catalog gets the given revision if anything changed.
+// before are the previous entries, by key. The caller holds the lock.
+func (s *Service) applyAnnouncements(changes []Announcement, revision uint64, before map[string]*wire.CatalogEntry) {
 	for _, change := range changes {
 		switch {
 		case change.Backend != nil:
 			s.catalog.entries[change.Key] = entryOf(change.Backend)
 		case change.Problem != nil:
-			s.takeUnreadable(change, before)
+			s.applyUnreadable(change, before)
 		default:
 			delete(s.catalog.entries, change.Key)
 		}
@@ -150,28 +148,29 @@
 	s.publishCatalog()
 }
 
-// publishCatalog brings into force what was listed and watched here. The caller holds the lock.
+// publishCatalog brings the listed and watched entries into force. The caller holds the lock.
 func (s *Service) publishCatalog() {
 	settling := &s.catalog.settling
 	s.replaceCatalog(&wire.Catalog{
-		Revision: told(settling.last, len(settling.kept) == 0), Entries: settling.over(s.catalog.entries),
+		Revision: publishedRevision(settling.last, len(settling.kept) == 0), Entries: settling.overlay(s.catalog.entries),
 	})
 }
 
-// noteWritten notes that an announcement was written after the store's return, or taken back. The caller holds the lock.
-func (s *Service) noteWritten(change Announcement) {
+// recordWritten records that an announcement was written or withdrawn after the store was restored. The caller holds
+// the lock.
+func (s *Service) recordWritten(change Announcement) {
 	if change.Backend != nil {
-		s.catalog.settling.written(change.Backend.Name)
+		s.catalog.settling.markWritten(change.Backend.Name)
 	}
 	if named := s.catalog.entries[change.Key]; named != nil {
-		s.catalog.settling.written(named.Name)
+		s.catalog.settling.markWritten(named.Name)
 	}
 }
 
-// takeUnreadable takes an announcement that can't be read. The backend server that its key named
-// before gets nothing new, and what it runs goes on, as at one that leaves; a key that named none names
-// none. The caller holds the lock.
-func (s *Service) takeUnreadable(change Announcement, before map[string]*wire.CatalogEntry) {
+// applyUnreadable applies an announcement that cannot be read. The backend server that the key named before is
+// drained: it gets no new requests and finishes the running ones. A key that named no backend server is ignored. The
+// caller holds the lock.
+func (s *Service) applyUnreadable(change Announcement, before map[string]*wire.CatalogEntry) {
 	s.metrics.Unreadable.Inc()
 	named := before[change.Key]
 	s.log.Warn().Err(change.Problem).Str("key", change.Key).Uint64("revision", change.Revision).
@@ -185,16 +184,16 @@
 	s.catalog.entries[change.Key] = left
 }
 
-func byName(a, b *wire.CatalogEntry) int { return cmp.Compare(a.Name, b.Name) }
+func compareNames(a, b *wire.CatalogEntry) int { return cmp.Compare(a.Name, b.Name) }
 
-// installCatalog takes another router's catalog.
+// installCatalog brings another router's catalog into force if it is newer.
 func (s *Service) installCatalog(next *wire.Catalog) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.installNewer(next)
 }
 
-// installNewer takes another router's catalog where it is newer. The caller holds the lock.
+// installNewer is installCatalog for a caller that holds the lock.
 func (s *Service) installNewer(next *wire.Catalog) {
 	if next.Revision > s.catalog.held.GetRevision() {
 		s.catalog.era = eraOf(next.Revision)
@@ -202,8 +201,7 @@
 	s.replaceCatalog(next)
 }
 
-// replaceCatalog brings a catalog into force where it is newer and differs. The
-// caller holds the lock.
+// replaceCatalog brings a catalog into force if it is newer and its entries differ. The caller holds the lock.
 func (s *Service) replaceCatalog(next *wire.Catalog) {
 	held := s.catalog.held
 	if held != nil && next.Revision <= held.Revision {
@@ -213,9 +211,9 @@
 	if same {
 		return
 	}
-	s.noteLapse(held, next)
-	s.noteDeparted(held, next)
-	s.noteRestarts(held, next)
+	s.keepLapsed(held, next)
+	s.recordDeparted(held, next)
+	s.reportRestarts(held, next)
 	s.catalog.history.add(held, next)
 	s.catalog.held = next
 	s.log.Info().Uint64("catalog", next.Revision).Int("backends", len(next.Entries)).
@@ -226,11 +224,11 @@
 	}
 }
 
-// countOf returns how many entries of a catalog a function holds for.
-func countOf(c *wire.Catalog, holds func(*wire.CatalogEntry) bool) int {
+// countOf returns the number of entries of a catalog that satisfy a predicate.
+func countOf(c *wire.Catalog, match func(*wire.CatalogEntry) bool) int {
 	n := 0
 	for _, e := range c.Entries {
-		if holds(e) {
+		if match(e) {
 			n++
 		}
 	}
@@ -244,7 +242,7 @@
 	}
 }
 
-// discovered returns the backend servers of a catalog's entries.
+// discovered converts catalog entries to backend servers.
 func discovered(entries []*wire.CatalogEntry) []config.Discovered {
 	var out []config.Discovered
 	for _, e := range entries {
--- a/generation/catalog_bench_test.go
+++ b/generation/catalog_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// BenchmarkCatalogChange measures what one change of a large catalog costs a router: taking
-// it, compiling it, and handing it on to the decisions.
+// BenchmarkCatalogChange measures one change of a large catalog: installing and compiling it, and a step of the core
+// that takes it.
 func BenchmarkCatalogChange(b *testing.B) {
 	for _, servers := range []int{140, 1000, 3000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/generation/fetch.go
+++ b/generation/fetch.go
@@ -8,9 +8,9 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// askRouters takes the highest generation that any router has, and tells
-// whether more than half of the others answered.
-func (s *Service) askRouters() bool {
+// fetchFromAll fetches from all other routers and keeps the highest generation. It reports whether there is a
+// configuration and more than half of the routers answered.
+func (s *Service) fetchFromAll() bool {
 	others := s.peers.Routers()
 	answered := 0
 	for _, address := range others {
@@ -21,37 +21,36 @@
 	return s.InForce() != nil && 2*answered > len(others)
 }
 
-// fetch brings a router's document into force here, if it is newer.
+// fetch fetches the newer state of a router and brings it into force.
 func (s *Service) fetch(address string) error {
 	ctx, cancel := context.WithTimeout(s.run, fetchTimeout)
 	defer cancel()
-	return s.calls.Call(ctx, address, func(ctx context.Context, c wire.DRPCPeerClient) error {
+	return s.caller.Call(ctx, address, func(ctx context.Context, c wire.DRPCPeerClient) error {
 		held := s.versions()
 		out, err := c.Fetch(ctx, &wire.FetchRequest{Generation: held.Generation, Catalog: held.Catalog, Halls: held.Halls})
 		if err != nil {
 			return err
 		}
 		s.installHalls(out.Halls)
-		s.takeCatalog(out)
+		s.installFetched(out)
 		if out.Document != nil {
 			s.install(out.Document, 0)
 		}
-		s.noteTaken()
+		s.recordFetched()
 		return nil
 	})
 }
 
-// fetchPause is how long a router rests after it has fetched something. Each change is
-// compiled anew for all backend servers; while a thousand of them start, the routers that
-// watch see twenty changes a second.
-const fetchPause = 150 * time.Millisecond
+// fetchCooldown is the minimum time between the end of a fetch and the next one. Each change is compiled for all
+// backend servers; while a thousand of them start, the routers that watch the store receive twenty changes a second.
+const fetchCooldown = 150 * time.Millisecond
 
-// farPause is how long a router that sees a newer catalog in another data hall waits for one
-// in its own: in each data hall a router watches the store, so that the bytes of a catalog
-// cross between data halls once, and not once a router.
-const farPause = 300 * time.Millisecond
+// crossHallDelay is how long a router that sees a newer catalog in another data hall waits for a router of its own
+// data hall to have it. In each data hall a router watches the store, so that a catalog is transferred between data
+// halls once, and not once per router.
+const crossHallDelay = 300 * time.Millisecond
 
-// versions returns the versions of what this router holds.
+// versions returns the versions of the state in force.
 func (s *Service) versions() core.Versions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +64,7 @@
 	}
 }
 
-// Fetch answers another router.
+// Fetch implements the Fetch call of wire.Peer: it returns the state that is newer than the caller's.
 func (s *Service) Fetch(_ context.Context, in *wire.FetchRequest) (*wire.FetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +84,8 @@
 	return out, nil
 }
 
-// takeCatalog takes what another router has answered of its catalog.
-func (s *Service) takeCatalog(in *wire.FetchResponse) {
+// installFetched brings the catalog, or the change of it, of a fetch response into force.
+func (s *Service) installFetched(in *wire.FetchResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in.Catalog != nil {
@@ -95,89 +94,86 @@
 	if in.Change == nil {
 		return
 	}
-	next, ok := applied(s.catalog.held, in.Change)
+	next, ok := applyChange(s.catalog.held, in.Change)
 	if !ok {
 		s.log.Info().Uint64("catalog", s.catalog.held.GetRevision()).Uint64("base", in.Change.Base).
-			Msg("changes of the catalog are of another revision, and left out")
+			Msg("catalog change ignored: based on another revision")
 		return
 	}
 	s.installNewer(next)
 }
 
-// generationSeen fetches what is newer from a router that has it.
+// generationSeen handles the versions that another router announced, and fetches from it if they are newer.
 func (s *Service) generationSeen(seen core.GenerationSeen) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteSeen(seen.Versions)
+	s.recordSeen(seen.Versions)
 	if !seen.Versions.Exceed(s.heldVersions()) || s.run.Err() != nil {
 		return
 	}
 	if s.fetching {
-		if seen.Near && s.asked.IsZero() {
+		if seen.Near && s.fetchBegan.IsZero() {
 			s.fetchFrom = seen.Address
 		}
-		s.askSecond(seen.Address)
+		s.hedge(seen.Address)
 		return
 	}
-	s.fetching, s.second, s.asked = true, false, time.Time{}
+	s.fetching, s.hedged, s.fetchBegan = true, false, time.Time{}
 	s.fetchFrom = seen.Address
-	pause := fetchPause - time.Since(s.fetched)
+	pause := fetchCooldown - time.Since(s.fetchEnded)
 	if !seen.Near && !s.isUrgent(seen.Versions) {
-		pause = max(pause, farPause)
+		pause = max(pause, crossHallDelay)
 	}
 	s.ended.Add(1)
 	go func() {
 		defer s.ended.Done()
-		rest(s.run, pause)
+		sleep(s.run, pause)
 		s.fetchNewer(seen.Versions)
 	}()
 }
 
-// secondAfter is how long a router that is fetched from may take until another one that has what
-// is newer is asked as well. Most answers come within some milliseconds; one that has frozen, or
-// lost its power, gives none, and is waited for fetchTimeout: what all others have would be in
-// force here two seconds later than there.
-const secondAfter = 400 * time.Millisecond
+// hedgeDelay is the age of a fetch after which it is also sent to a second router that has the newer state. Most
+// responses arrive within milliseconds. A router that is frozen or has lost its power sends none, and the fetch takes
+// fetchTimeout: the state would be in force here two seconds later than on other routers.
+const hedgeDelay = 400 * time.Millisecond
 
-// askSecond fetches from a second router where the first one may be silent. The caller holds the
-// lock.
-func (s *Service) askSecond(address string) {
-	if s.second || s.asked.IsZero() || address == s.fetchFrom || time.Since(s.asked) < secondAfter {
+// hedge fetches from a second router if the first one has not answered within hedgeDelay. The caller holds the lock.
+func (s *Service) hedge(address string) {
+	if s.hedged || s.fetchBegan.IsZero() || address == s.fetchFrom || time.Since(s.fetchBegan) < hedgeDelay {
 		return
 	}
-	s.second = true
+	s.hedged = true
 	s.ended.Add(1)
 	go func() {
 		defer s.ended.Done()
-		s.fetchNoted(address)
+		s.fetchAndLog(address)
 	}()
 }
 
-// isUrgent tells whether versions are newer in more than the catalog. The caller holds the
-// lock.
+// isUrgent reports whether versions are newer in more than the catalog. The caller holds the lock.
 func (s *Service) isUrgent(theirs core.Versions) bool {
 	theirs.Catalog = 0
 	return theirs.Exceed(s.heldVersions())
 }
 
-// fetchNewer fetches what is newer than this router's, unless it came meanwhile.
+// fetchNewer fetches newer state unless it has arrived meanwhile.
 func (s *Service) fetchNewer(theirs core.Versions) {
 	s.mu.Lock()
 	from := s.fetchFrom
 	newer := theirs.Exceed(s.heldVersions())
-	s.asked = time.Now()
+	s.fetchBegan = time.Now()
 	s.mu.Unlock()
 	if newer {
-		s.fetchNoted(from)
+		s.fetchAndLog(from)
 	}
 	s.mu.Lock()
 	s.fetching = false
-	s.fetched = time.Now()
+	s.fetchEnded = time.Now()
 	s.mu.Unlock()
 }
 
-// fetchNoted fetches from a router, and logs where that fails.
-func (s *Service) fetchNoted(from string) {
+// fetchAndLog fetches from a router and logs a failure.
+func (s *Service) fetchAndLog(from string) {
 	began := time.Now()
 	if err := s.fetch(from); err != nil && s.run.Err() == nil {
 		s.log.Warn().Err(err).Str("from", from).Dur("age_ms", time.Since(began)).Msg("another router's newer state can't be fetched")
--- a/generation/fetch_test.go
+++ b/generation/fetch_test.go
@@ -16,8 +16,8 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// halfSilent are two other routers, of which "silent" takes calls and never answers, as one that
-// was frozen or lost its power a moment ago. It implements Calls.
+// halfSilent implements Caller for two other routers. The one at the address "silent" accepts calls and never
+// answers, like a frozen router or one that has just lost its power.
 type halfSilent struct{ document *wire.Document }
 
 func (h halfSilent) Call(ctx context.Context, address string, do func(context.Context, wire.DRPCPeerClient) error) error {
@@ -39,18 +39,17 @@
 	return &wire.FetchResponse{Document: p.document}, nil
 }
 
-// TestSilentRouterDoesntHoldUpWhatOthersHave lets a router hear of a newer configuration from two
-// others, the first of which falls silent as it is asked. What is asked of one that is silent is
-// another wait that outlives its reason, as that for a silent store: the second one must be asked
-// long before it ends.
-func TestSilentRouterDoesntHoldUpWhatOthersHave(t *testing.T) {
+// TestUnresponsiveRouterDoesNotDelayFetch guards against waiting for a fetch to time out. A router receives a newer
+// generation number from two others, and the first one stops responding as it is asked. The second one must be asked
+// long before the time-out of the first call.
+func TestUnresponsiveRouterDoesNotDelayFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		newest, err := config.WrapDocument(2, []byte("2"))
 		is.NoErr(err)
 		s := New(Source{Format: numbered{}}, zerolog.Nop(), telemetry.NewMetrics().Platform)
-		l := &loneCore{events: make(chan core.Event, 64)}
-		s.decisions, s.calls = l, halfSilent{document: newest}
+		l := &singleCore{events: make(chan core.Event, 64)}
+		s.scheduler, s.caller = l, halfSilent{document: newest}
 		s.run, s.cancel = context.WithCancel(t.Context())
 		s.installValue(store.Value{Data: []byte("1"), Revision: 1})
 		began := time.Now()
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -1,21 +1,18 @@
-// Package generation brings every accepted configuration into force, and takes
-// new ones from the operators into the platform's store.
+// Package generation distributes the configuration: it brings each accepted configuration into force on this router
+// and writes new ones from the operators to the platform's store.
 //
-// The store holds one document. An apply swaps it for the next generation,
-// only if the generation it builds on is still there, with the apply's own
-// identifier inside: where the swap's answer is lost, reading back tells
-// whether it took effect. A few routers of each data hall watch the store; the
-// others see the generation in the datagrams and fetch the document from
-// whoever has it. No router ever goes back to a lower generation.
+// The store holds one document. An apply replaces it with the next generation by compare-and-swap, only if the
+// generation it is based on is still current. The document contains the apply's identifier, so that reading it back
+// shows whether a swap whose response was lost took effect. A few routers of each data hall watch the store. The
+// others receive the current generation number in datagrams and fetch the document from a router that has it. A
+// router never reverts to a lower generation.
 //
-// A router that starts reads the store. While the store is out it asks the other
-// routers, takes the highest generation any of them has, and serves only once
-// more than half of those in the VM list have answered: an accepted
-// configuration is in force at all but those that were cut off.
+// A router reads the store when it starts. While the store is unavailable, it asks the other routers, uses the
+// highest generation that any of them has, and serves only once more than half of the routers in the VM list have
+// answered. An accepted configuration is thus in force on all routers but those that are cut off.
 //
-// A router that is cut off from the store and from the others goes on serving
-// with what it has: refusing would turn every outage of the store into one of
-// the fleet.
+// A router that can reach neither the store nor other routers keeps serving with the configuration it has: refusing
+// requests would turn each outage of the store into an outage of the fleet.
 package generation
 
 import (
@@ -42,10 +39,10 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered in the kernel.
 const ServiceName = "generation"
 
-// Key is where the store holds the configuration.
+// Key is the store key of the configuration document.
 const Key = "tamarindstep/configuration"
 
 const (
@@ -53,123 +50,119 @@
 	applyTimeout = 10 * time.Second
 )
 
-// The errors of an apply.
+// Errors of an apply.
 var (
 	namespace = errorx.NewNamespace("generation")
-	// Conflict is the error for an apply that builds on a generation that isn't
-	// the last any more.
+	// Conflict is the error of an apply whose base is no longer the last generation.
 	Conflict = namespace.NewType("conflict")
-	// Unknown is the error for an apply of which it isn't known whether it took
-	// hold. The same apply, with the same identifier, may be made again.
+	// Unknown is the error of an apply whose outcome could not be determined. The apply can be retried with the same
+	// identifier.
 	Unknown = namespace.NewType("unknown")
-	// Foreign is the error for an apply where the configuration isn't put into
-	// the store by routers.
-	Foreign = namespace.NewType("foreign")
+	// ReadOnly is the error of an apply where the configuration is written to the store by another system.
+	ReadOnly = namespace.NewType("foreign")
 )
 
-// Peers lists the routers that can be asked, by name and address.
+// Peers lists the other routers: addresses by name.
 type Peers interface {
 	Routers() map[string]string
 }
 
-// Decisions are told what is in force, and say what is to be done for it.
-type Decisions interface {
+// Scheduler receives the configuration in force and sends requests for store access to its observer.
+type Scheduler interface {
 	Tell(core.Event)
 	Configure(*config.InForce)
 	Observe(scheduler.Observer)
 }
 
-// Calls makes calls of other routers, as peer.Service does.
-type Calls interface {
+// Caller calls other routers, as peer.Service does.
+type Caller interface {
 	Call(ctx context.Context, address string, do func(context.Context, wire.DRPCPeerClient) error) error
 }
 
-// Format is the form in which the store holds the configuration.
+// Format is the encoding of the configuration in the store.
 type Format interface {
-	// Key is where the store holds it.
+	// Key returns the store key of the configuration.
 	Key() string
-	// Document returns the document that a value of the store holds.
+	// Document decodes a value of the store into a document.
 	Document(value []byte) (*wire.Document, error)
-	// Parse reads and checks a document's text.
+	// Parse reads and checks the text of a document.
 	Parse(text []byte) (*config.File, finding.List)
 }
 
-// ownFormat is the product's own: a document with an operators' file inside.
-type ownFormat struct{}
+// nativeFormat is the default format: a wire.Document that contains the operators' file.
+type nativeFormat struct{}
 
-func (ownFormat) Key() string { return Key }
+func (nativeFormat) Key() string { return Key }
 
-func (ownFormat) Document(value []byte) (*wire.Document, error) {
+func (nativeFormat) Document(value []byte) (*wire.Document, error) {
 	d := &wire.Document{}
 	return d, proto.Unmarshal(value, d)
 }
 
-func (ownFormat) Parse(text []byte) (*config.File, finding.List) {
+func (nativeFormat) Parse(text []byte) (*config.File, finding.List) {
 	return checks.File("configuration", text)
 }
 
-// Source is where the service gets the configuration, and the backend servers
-// that announce themselves.
+// Source is the origin of the configuration and of the discovered backend servers.
 type Source struct {
 	Store store.Store
-	// Format is the configuration's, nil for the product's own. A configuration
-	// in another form is put into the store by others: it can't be applied here.
+	// Format is the format of the configuration, nil for the default. A configuration in another format is written to
+	// the store by another system and cannot be applied here.
 	Format Format
-	// Operators is nil where the configuration stands in the store by itself, and the
-	// operators evacuate data halls by it.
+	// Operators is nil where the store holds just the configuration, and operators evacuate data halls through it.
 	Operators Operators
-	// Discovery is nil where no backend servers announce themselves.
+	// Discovery is nil where backend servers do not announce themselves.
 	Discovery Discovery
 }
 
-// Service keeps the configuration in force.
+// Service maintains the configuration in force.
 type Service struct {
-	store   store.Store
-	format  Format
-	foreign bool // the configuration is put into the store by others
-	log     zerolog.Logger
-	metrics *telemetry.Platform
-
-	decisions Decisions
-	calls     Calls
+	store    store.Store
+	format   Format
+	readOnly bool // the configuration is written to the store by another system
+	log      zerolog.Logger
+	metrics  *telemetry.Platform
+
+	scheduler Scheduler
+	caller    Caller
 	peers     Peers
 
 	inForce atomic.Pointer[config.InForce]
 	ready   atomic.Bool
 
-	began     time.Time
-	mu        sync.Mutex
-	document  *wire.Document
-	file      *config.InForce // of the document, with no backend servers but its own
-	revision  int64           // of the document in the store, 0 where it came from a router
-	fetching  bool
-	fetchFrom string    // the router to fetch from: the one that was seen first, or one nearby
-	fetched   time.Time // when that ended last
-	asked     time.Time // when the router that is fetched from was asked, zero for not yet
-	second    bool      // another one is asked as well
-	catalog   catalog
-	halls     halls
-
-	watch   chan bool
-	reached atomic.Bool   // the store, when it was asked last
-	seen    core.Versions // the newest that another router has, but for the catalog
-	stale   stale
-	waits   waits
-	cancel  context.CancelFunc
-	run     context.Context
-	ended   sync.WaitGroup
+	began      time.Time
+	mu         sync.Mutex
+	document   *wire.Document
+	file       *config.InForce // compiled from document, without discovered backend servers
+	revision   int64           // of the document in the store, 0 if it came from a router
+	fetching   bool
+	fetchFrom  string    // address of the router to fetch from: the first that was seen, or one in the same data hall
+	fetchEnded time.Time // when the last fetch ended
+	fetchBegan time.Time // when the fetch from fetchFrom began, zero if it has not
+	hedged     bool      // the fetch was also sent to a second router
+	catalog    catalog
+	halls      halls
+
+	watch      chan bool
+	reached    atomic.Bool   // whether the last ping of the store was answered
+	seen       core.Versions // newest versions seen from other routers, without the catalog
+	stale      staleness
+	storeCalls storeCalls
+	cancel     context.CancelFunc
+	run        context.Context
+	ended      sync.WaitGroup
 }
 
-// New returns the service.
+// New returns a Service.
 func New(source Source, log zerolog.Logger, metrics *telemetry.Platform) *Service {
 	s := &Service{
-		store: source.Store, format: source.Format, foreign: source.Format != nil,
+		store: source.Store, format: source.Format, readOnly: source.Format != nil,
 		log: log, metrics: metrics, watch: make(chan bool, 16), began: time.Now(),
 		catalog: catalog{discovery: source.Discovery},
 		halls:   halls{operators: source.Operators},
 	}
-	if !s.foreign {
-		s.format = ownFormat{}
+	if !s.readOnly {
+		s.format = nativeFormat{}
 	}
 	return s
 }
@@ -182,13 +175,13 @@
 	return []string{peer.ServiceName, scheduler.ServiceName, "fleet"}
 }
 
-// Start implements kernel.Service. It doesn't wait for a configuration.
+// Start implements kernel.Service. It does not wait for a configuration.
 func (s *Service) Start(ctx context.Context, k *kernel.Kernel) error {
 	var err error
-	if s.decisions, err = kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName); err != nil {
+	if s.scheduler, err = kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName); err != nil {
 		return err
 	}
-	if s.calls, err = kernel.Lookup[*peer.Service](k, peer.ServiceName); err != nil {
+	if s.caller, err = kernel.Lookup[*peer.Service](k, peer.ServiceName); err != nil {
 		return err
 	}
 	if s.peers, err = kernel.Lookup[Peers](k, "fleet"); err != nil {
@@ -198,14 +191,14 @@
 	return nil
 }
 
-// begin begins to follow the configuration.
+// begin starts reading and watching the configuration.
 func (s *Service) begin(ctx context.Context) {
 	s.run, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	s.storeReturned()
-	s.decisions.Observe(scheduler.Observer{Generation: s.generationSeen, Store: s.watchWanted, Contact: s.contactStore, Returned: s.storeReturned, Slept: s.slept})
+	s.cancelStoreCalls()
+	s.scheduler.Observe(scheduler.Observer{Generation: s.generationSeen, Store: s.setWatch, Contact: s.pingStore, Returned: s.cancelStoreCalls, Slept: s.handleSuspend})
 	s.ended.Add(2)
-	go s.getFirst()
-	go s.followStore()
+	go s.loadInitial()
+	go s.runWatches()
 }
 
 // Stop implements kernel.Service.
@@ -215,39 +208,38 @@
 	return nil
 }
 
-// InForce returns the configuration in force, or nil.
+// InForce returns the configuration in force, nil if there is none.
 func (s *Service) InForce() *config.InForce { return s.inForce.Load() }
 
-// Ready tells whether the configuration in force is known to be recent. A router that knows that it isn't must
-// not serve by it: it would refuse keys and routes that are there, and run what may not be run any more.
+// Ready reports whether there is a configuration and it is not known to be outdated. A router with an outdated
+// configuration would refuse valid keys and routes, and run requests that are no longer allowed.
 func (s *Service) Ready() bool {
 	return s.ready.Load() && s.InForce() != nil && !s.stale.isStale(clock.System.Now())
 }
 
-// Document returns the document in force, or nil.
+// Document returns the document in force, nil if there is none.
 func (s *Service) Document() *wire.Document {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.document
 }
 
-// getFirst gets the first configuration: from the store, or while that is out from
-// the other routers.
-func (s *Service) getFirst() {
+// loadInitial loads the first configuration from the store or, while the store is unavailable, from the other
+// routers.
+func (s *Service) loadInitial() {
 	defer s.ended.Done()
 	for s.run.Err() == nil && !s.ready.Load() {
-		if s.readConfiguration() && s.readCatalog() || s.askRouters() {
+		if s.readConfiguration() && s.readCatalog() || s.fetchFromAll() {
 			s.ready.Store(true)
 			return
 		}
-		s.pause()
+		s.waitToRetry()
 	}
 }
 
-func (s *Service) pause() { s.restUnlessBack(s.run, retryPause) }
+func (s *Service) waitToRetry() { s.sleepUnlessCanceled(s.run, retryPause) }
 
-// readConfiguration reads what the operators have written, and tells whether that was
-// possible.
+// readConfiguration reads the operators' configuration and reports whether that succeeded.
 func (s *Service) readConfiguration() bool {
 	if s.halls.operators == nil {
 		return s.readStore()
@@ -256,8 +248,8 @@
 	return err == nil
 }
 
-// readStore reads the store and tells whether it answered. What it reads may be seconds
-// old: the routers that watch the store, and the others' datagrams, tell of what is newer.
+// readStore reads the configuration from the store and reports whether the store answered. The result may be seconds
+// old; newer generations arrive through watches and datagrams.
 func (s *Service) readStore() bool {
 	s.metrics.StoreCalls.WithLabelValues("get").Inc()
 	v, err := s.store.GetStale(s.run, s.format.Key())
@@ -269,8 +261,8 @@
 	return true
 }
 
-// rest waits for so long, or until the context ends, which whoever calls it looks at by itself.
-func rest(ctx context.Context, long time.Duration) { _ = pause.For(ctx, long) }
+// sleep waits for d or until ctx ends. Callers check ctx themselves.
+func sleep(ctx context.Context, d time.Duration) { _ = pause.For(ctx, d) }
 
 func (s *Service) installValue(v store.Value) {
 	if v.Revision == 0 {
@@ -287,7 +279,7 @@
 	s.install(d, v.Revision)
 }
 
-// install brings a document into force, if it is newer than what is.
+// install brings a document into force if it is newer than the current one.
 func (s *Service) install(d *wire.Document, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -297,12 +289,12 @@
 	}
 	text, err := config.DocumentText(d)
 	if err != nil {
-		s.log.Error().Err(err).Msg("a configuration can't be read")
+		s.log.Error().Err(err).Msg("configuration document can't be decoded")
 		return
 	}
 	f, findings := s.format.Parse(text)
 	if findings.Failed() {
-		s.log.Error().Err(findings).Uint64("generation", d.Generation).Msg("a configuration isn't valid here")
+		s.log.Error().Err(findings).Uint64("generation", d.Generation).Msg("configuration rejected: not valid for this router")
 		return
 	}
 	s.document = d
@@ -312,8 +304,8 @@
 	s.log.Info().Uint64("generation", d.Generation).Str("policy", c.Core.Policy.Name).Msg("configuration in force")
 }
 
-// compile brings the document, the catalog and the evacuations into force together; the
-// caller holds the lock.
+// compile combines the document, the catalog and the evacuations, and brings the result into force. The caller holds
+// the lock.
 func (s *Service) compile() *config.InForce {
 	c := s.file.With(config.Surroundings{
 		Catalog: s.catalog.held.GetRevision(), Discovered: discovered(s.withLapsed()),
@@ -321,7 +313,7 @@
 	})
 	c.Core.Edition = s.catalog.edition
 	s.inForce.Store(c)
-	s.noteWhetherStale()
-	s.decisions.Configure(c)
+	s.updateStale()
+	s.scheduler.Configure(c)
 	return c
 }
--- a/generation/halls.go
+++ b/generation/halls.go
@@ -11,25 +11,24 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// Operators is where others than routers write the configuration, and which data halls are
-// evacuated. One watch covers both: each call of a watch is counted by the store.
+// Operators is the source of a configuration that another system writes, and of the evacuated data halls. One watch
+// covers both, as the store counts each watch call.
 type Operators interface {
-	// Read returns all that is written, and the revision from which changes are to be
-	// watched. What is stale may be seconds old, and costs less.
+	// Read returns everything that is written and the revision from which to watch for changes. A stale result may be
+	// seconds old and costs less.
 	Read(ctx context.Context, stale bool) (Written, uint64, error)
-	// Changes waits for changes after a revision, and returns them with the revision up to
-	// which they are complete. The error is of type store.Forgotten where the changes
-	// aren't known any more, and all must be read anew.
+	// Changes waits for changes after a revision and returns them with the revision up to which they are complete.
+	// The error is of type store.Forgotten if the changes are no longer available and everything must be read again.
 	Changes(ctx context.Context, revision uint64) (Written, uint64, error)
 }
 
-// Written is what the operators have written.
+// Written is the result of a read or a watch of Operators.
 type Written struct {
-	Configuration store.Value // of revision 0 where there is none, or it hasn't changed
+	Configuration store.Value // of revision 0 if there is none or it has not changed
 	Evacuations   []Evacuation
 }
 
-// changes returns how many changes were written.
+// changes returns the number of changes.
 func (w *Written) changes() int {
 	n := len(w.Evacuations)
 	if w.Configuration.Revision > 0 {
@@ -42,41 +41,41 @@
 type Evacuation struct {
 	Hall     string
 	Revision uint64
-	Ended    bool // the hall was taken back
+	Ended    bool // the data hall is no longer evacuated
 }
 
-// halls is what is known of the data halls that are evacuated.
+// halls is the state of the evacuated data halls.
 type halls struct {
 	operators Operators
-	held      *wire.Halls     // in force, from here or from another router
-	own       map[string]bool // evacuated by what was read and watched here
-	last      uint64          // revision of that
-	era       uint32          // of what is in force
-	kept      map[string]bool // evacuated or not until it is written again, as the store's copy differs
+	held      *wire.Halls     // in force, from the store or from another router
+	own       map[string]bool // data halls that are evacuated according to this router's reads and watches
+	last      uint64          // revision of own
+	era       uint32          // of the evacuations in force
+	kept      map[string]bool // previous state of data halls whose state differs after a restore, until they are written again
 	until     time.Time
 }
 
-// readOperators reads all that the operators have written, and returns the revision from
-// which changes are to be watched.
+// readOperators reads the operators' configuration and evacuations, and returns the revision from which to watch for
+// changes.
 func (s *Service) readOperators(ctx context.Context, stale bool) (uint64, error) {
 	s.metrics.StoreCalls.WithLabelValues("list").Inc()
-	wait, done := s.unlessBack(ctx)
+	callCtx, done := s.withStoreCalls(ctx)
 	defer done()
-	written, at, err := s.halls.operators.Read(wait, stale)
+	written, at, err := s.halls.operators.Read(callCtx, stale)
 	if err != nil {
 		s.metrics.StoreFailures.WithLabelValues("list").Inc()
 		return 0, err
 	}
 	s.mu.Lock()
-	s.readEvacuations(written.Evacuations, at, stale)
+	s.replaceEvacuations(written.Evacuations, at, stale)
 	s.mu.Unlock()
 	s.installValue(written.Configuration)
 	return at, nil
 }
 
-// readEvacuations takes all evacuations, as they were read. What was watched since is newer: a read that waits for its answer
-// beside a watch, as after a sleep, must not undo it. The caller holds the lock.
-func (s *Service) readEvacuations(all []Evacuation, at uint64, stale bool) {
+// replaceEvacuations applies a read of all evacuations. A read that is older than a watched change is ignored: after
+// a suspension, a read can run concurrently with a watch, and must not undo its changes. The caller holds the lock.
+func (s *Service) replaceEvacuations(all []Evacuation, at uint64, stale bool) {
 	h := &s.halls
 	if at < h.last {
 		return
@@ -89,61 +88,60 @@
 	if stale {
 		h.last = newestOf(all)
 		h.era = max(h.era, eraOf(at))
-		s.replaceHalls(&wire.Halls{Revision: startRevision(h.last), Evacuated: h.evacuated()})
+		s.replaceHalls(&wire.Halls{Revision: initialRevision(h.last), Evacuated: h.evacuated()})
 		return
 	}
-	h.last = at // that none is there is news as well
+	h.last = at // an empty list is a change, too
 	s.settleHalls(own, at)
 	s.publishHalls()
 }
 
-// publishHalls brings into force what was read and watched here. The caller holds the lock.
+// publishHalls brings the evacuations that were read and watched into force. The caller holds the lock.
 func (s *Service) publishHalls() {
 	h := &s.halls
-	s.replaceHalls(&wire.Halls{Revision: told(h.last, len(h.kept) == 0), Evacuated: h.evacuated()})
+	s.replaceHalls(&wire.Halls{Revision: publishedRevision(h.last, len(h.kept) == 0), Evacuated: h.evacuated()})
 }
 
-// watchOperators follows what the operators write, while this router is one of those that
-// watch the store. It begins with a read that isn't stale, as the changes since a stale one
-// aren't known where its pages were of different ages.
+// watchOperators receives the operators' changes while this router is one of those that watch the store. It begins
+// with a read that is not stale: pages of a stale read can be of different ages, so that the changes since are not
+// defined.
 func (s *Service) watchOperators(ctx context.Context) {
 	var p pace
 	for ctx.Err() == nil {
 		at, err := s.readOperators(ctx, false)
 		for err == nil && ctx.Err() == nil {
-			at, err = s.followOperators(ctx, at, &p)
+			at, err = s.watchOperatorsOnce(ctx, at, &p)
 		}
-		s.restUnlessBack(ctx, p.afterFailure())
+		s.sleepUnlessCanceled(ctx, p.afterFailure())
 	}
 }
 
-// followOperators waits for one change, and returns the revision from which to watch on. It
-// fails only where all must be read anew: while the store is out, the watch goes on from
-// where it was.
-func (s *Service) followOperators(ctx context.Context, since uint64, p *pace) (uint64, error) {
+// watchOperatorsOnce waits for one change and returns the revision from which to continue. It fails only if
+// everything must be read again: while the store is unavailable, the watch continues from the same revision.
+func (s *Service) watchOperatorsOnce(ctx context.Context, since uint64, p *pace) (uint64, error) {
 	began := time.Now()
 	s.metrics.StoreCalls.WithLabelValues("watch").Inc()
-	wait, done := s.unlessBack(ctx)
+	callCtx, done := s.withStoreCalls(ctx)
 	defer done()
-	written, at, err := s.halls.operators.Changes(wait, since)
-	s.noteWatch(wait, watchEnded{of: "operators", began: began, since: since, changes: written.changes(), err: err})
+	written, at, err := s.halls.operators.Changes(callCtx, since)
+	s.logWatch(callCtx, watchEnded{of: "operators", began: began, since: since, changes: written.changes(), err: err})
 	if err != nil {
 		s.metrics.StoreFailures.WithLabelValues("watch").Inc()
 		if errorx.IsOfType(err, store.Forgotten) {
 			return 0, err
 		}
-		rest(wait, p.afterFailure())
+		sleep(callCtx, p.afterFailure())
 		return since, nil
 	}
 	s.mu.Lock()
-	s.takeEvacuations(written.Evacuations)
+	s.applyEvacuations(written.Evacuations)
 	s.mu.Unlock()
 	s.installValue(written.Configuration)
-	rest(ctx, p.afterChange(time.Since(began)))
+	sleep(ctx, p.afterChange(time.Since(began)))
 	return max(at, since), nil
 }
 
-// newestOf returns the revision of the newest change, 0 for none.
+// newestOf returns the highest revision of the changes, 0 if there are none.
 func newestOf(changes []Evacuation) uint64 {
 	out := uint64(0)
 	for _, e := range changes {
@@ -152,8 +150,8 @@
 	return out
 }
 
-// takeEvacuations takes what was watched of the data halls. The caller holds the lock.
-func (s *Service) takeEvacuations(changes []Evacuation) {
+// applyEvacuations applies watched changes. The caller holds the lock.
+func (s *Service) applyEvacuations(changes []Evacuation) {
 	h := &s.halls
 	for _, e := range changes {
 		h.last = max(h.last, e.Revision)
@@ -169,7 +167,7 @@
 	}
 }
 
-// installHalls takes another router's evacuations, nil for none that are newer.
+// installHalls brings another router's evacuations into force if they are newer. next may be nil.
 func (s *Service) installHalls(next *wire.Halls) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +177,7 @@
 	s.replaceHalls(next)
 }
 
-// replaceHalls brings evacuations into force where they are newer and differ. The caller
-// holds the lock.
+// replaceHalls brings evacuations into force if they are newer and differ. The caller holds the lock.
 func (s *Service) replaceHalls(next *wire.Halls) {
 	held := s.halls.held
 	if next.GetRevision() <= held.GetRevision() || slices.Equal(next.GetEvacuated(), held.GetEvacuated()) {
@@ -196,8 +193,8 @@
 	}
 }
 
-// unknownHalls returns the data halls of which no backend server is known: an operator may
-// have mistaken a name.
+// unknownHalls returns the data halls without any known backend server: the name may be a typing error of an
+// operator.
 func (s *Service) unknownHalls(names []string) []string {
 	known := map[string]bool{}
 	for _, e := range s.withLapsed() {
--- a/generation/halls_test.go
+++ b/generation/halls_test.go
@@ -10,19 +10,19 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// operatorsModel is what the operators have written, as a plain list of its changes.
+// operatorsModel is a model of the operators' writes: a list of changes.
 type operatorsModel struct {
 	revision uint64
 	changes  []Evacuation
 }
 
-// change evacuates a hall or takes it back.
+// change evacuates a data hall or ends its evacuation.
 func (m *operatorsModel) change(hall string, ended bool) {
 	m.revision++
 	m.changes = append(m.changes, Evacuation{Hall: hall, Revision: m.revision, Ended: ended})
 }
 
-// at returns the halls that are evacuated up to a revision.
+// at returns the data halls that are evacuated at a revision.
 func (m *operatorsModel) at(revision uint64) []string {
 	set := map[string]bool{}
 	for _, c := range m.changes {
@@ -40,7 +40,7 @@
 	return out
 }
 
-// list returns what a read of a revision finds: only what is there.
+// list returns the result of a read at a revision: only the evacuations that exist.
 func (m *operatorsModel) list(revision uint64) []Evacuation {
 	var out []Evacuation
 	for _, hall := range m.at(revision) {
@@ -55,11 +55,11 @@
 	return out
 }
 
-// hallsRun is a drawn run of routers that read, watch, restart and hear of each other.
+// hallsRun is a drawn run of routers that read, watch, restart and receive messages from each other.
 type hallsRun struct {
 	model    operatorsModel
 	routers  []*Service
-	watched  []uint64 // up to which each has watched
+	watched  []uint64 // revision up to which each has watched
 	messages []*wire.Halls
 }
 
@@ -72,41 +72,41 @@
 	return r
 }
 
-// read lets a router read what was there at a revision.
+// read lets a router read the state at a revision.
 func (r *hallsRun) read(i int, revision uint64, stale bool) {
 	s := r.routers[i]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readEvacuations(r.model.list(revision), revision, stale)
+	s.replaceEvacuations(r.model.list(revision), revision, stale)
 	r.watched[i] = revision
 }
 
-// watch lets a router see the changes since it watched last.
+// watch lets a router receive the changes since its last watch.
 func (r *hallsRun) watch(i int) {
-	var news []Evacuation
+	var changes []Evacuation
 	for _, c := range r.model.changes {
 		if c.Revision > r.watched[i] {
-			news = append(news, c)
+			changes = append(changes, c)
 		}
 	}
 	s := r.routers[i]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.takeEvacuations(news)
+	s.applyEvacuations(changes)
 	r.watched[i] = r.model.revision
 }
 
-// check fails where a router holds what the operators never had written at that revision.
+// check fails if the state of a router differs from the model at its revision.
 func (r *hallsRun) check(t *rapid.T) {
 	for _, s := range r.routers {
 		held := s.halls.held
 		if got := held.GetEvacuated(); held != nil && !slices.Equal(got, r.model.at(held.Revision)) {
-			t.Fatalf("revision %d holds %v, operators had %v", held.Revision, got, r.model.at(held.Revision))
+			t.Fatalf("revision %d has %v, want %v", held.Revision, got, r.model.at(held.Revision))
 		}
 	}
 }
 
-// settle lets all hear of what one reads, and fails where any doesn't hold the newest.
+// settle sends the newest state to all routers and fails if one does not have it.
 func (r *hallsRun) settle(t *rapid.T) {
 	r.read(0, r.model.revision, false)
 	for _, s := range r.routers {
@@ -114,15 +114,15 @@
 	}
 	for i, s := range r.routers {
 		if got := s.halls.held.GetEvacuated(); !slices.Equal(got, r.model.at(r.model.revision)) {
-			t.Fatalf("router %d has %v, operators %v", i, got, r.model.at(r.model.revision))
+			t.Fatalf("router %d has %v, want %v", i, got, r.model.at(r.model.revision))
 		}
 	}
 }
 
-// TestHallsFollowAPlainModel lets routers read, watch, restart and hear of each other in any
-// order, late and twice: what one holds is always what the operators had written at some
-// time, never goes back, and is the newest once all have heard of each other.
-func TestHallsFollowAPlainModel(t *testing.T) {
+// TestHallsMatchModel lets routers read, watch, restart and receive messages from each other in any order, delayed
+// and repeated: the state of a router must be that of the operators at some revision, never revert, and be the newest
+// once all have received it.
+func TestHallsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newHallsRun()
 		pick := func(t *rapid.T) int { return rapid.IntRange(0, len(r.routers)-1).Draw(t, "router") }
@@ -149,8 +149,8 @@
 	})
 }
 
-// TestHallsNeverGoBack takes an older message after a newer one.
-func TestHallsNeverGoBack(t *testing.T) {
+// TestHallsNeverRevert installs an older message after a newer one.
+func TestHallsNeverRevert(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
 	s.installHalls(&wire.Halls{Revision: 9, Evacuated: []string{"a"}})
@@ -161,14 +161,14 @@
 	is.Equal(len(s.halls.held.Evacuated), 0)
 }
 
-// TestReadsDontUndoWhatWasWatched lets a read's answer come after a change that was watched meanwhile, as where one is made
-// after a sleep.
-func TestReadsDontUndoWhatWasWatched(t *testing.T) {
+// TestReadDoesNotUndoWatchedChange lets the response of a read arrive after a change that was watched meanwhile, as
+// it can after a suspension.
+func TestReadDoesNotUndoWatchedChange(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
-	s.readEvacuations(nil, 4, false)
-	s.takeEvacuations([]Evacuation{{Hall: "a", Revision: 6}})
-	s.readEvacuations(nil, 5, false) // as it was before
-	s.takeEvacuations([]Evacuation{{Hall: "b", Revision: 7}})
+	s.replaceEvacuations(nil, 4, false)
+	s.applyEvacuations([]Evacuation{{Hall: "a", Revision: 6}})
+	s.replaceEvacuations(nil, 5, false) // the state before the change
+	s.applyEvacuations([]Evacuation{{Hall: "b", Revision: 7}})
 	is.Equal(s.halls.held.Evacuated, []string{"a", "b"})
 }
--- a/generation/history.go
+++ b/generation/history.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	// maxHistory is how many changes of the catalog are kept. Routers follow each other
-	// within a second or so, in which a watch of the store brings a few.
+	// maxHistory is the number of catalog changes that are kept. Routers receive a change from each other within
+	// about a second, in which a watch of the store brings a few.
 	maxHistory = 64
-	// wholeFrom is the part of the catalog from which on a change is as large as the whole.
-	wholeFrom = 0.5
+	// maxChangePart is the part of the catalog from which on a change is as large as the full catalog.
+	maxChangePart = 0.5
 )
 
-// history holds the last changes of the catalog, the oldest first, so that a router which
-// is a little behind is told what changed, and not some hundred bytes of each backend
-// server at each change of one of them.
+// history holds the last changes of the catalog, the oldest first. A router that is a few revisions behind gets only
+// these, instead of some hundred bytes per backend server at each change of one of them.
 type history struct{ changes []*wire.CatalogChange }
 
-// add notes that one catalog has followed another.
+// add appends the change from one catalog to the next.
 func (h *history) add(before, after *wire.Catalog) {
 	if before == nil {
 		return
@@ -33,10 +32,10 @@
 	}
 }
 
-// changeBetween returns what leads from one catalog to another.
+// changeBetween returns the difference of two catalogs.
 func changeBetween(before, after *wire.Catalog) *wire.CatalogChange {
 	out := &wire.CatalogChange{Base: before.Revision, Revision: after.Revision}
-	old := byNames(before)
+	old := entriesByName(before)
 	for _, e := range after.Entries {
 		if o := old[e.Name]; o == nil || !proto.Equal(o, e) {
 			out.Changed = append(out.Changed, e)
@@ -47,7 +46,7 @@
 	return out
 }
 
-func byNames(c *wire.Catalog) map[string]*wire.CatalogEntry {
+func entriesByName(c *wire.Catalog) map[string]*wire.CatalogEntry {
 	out := make(map[string]*wire.CatalogEntry, len(c.GetEntries()))
 	for _, e := range c.GetEntries() {
 		out[e.Name] = e
@@ -55,8 +54,8 @@
 	return out
 }
 
-// since returns the changes from a revision to the last one as one change, nil where they
-// aren't known or as large as the whole catalog of so many entries.
+// since returns the changes after a revision, merged into one, or nil if they are not available or about as large as
+// the full catalog, which has the given number of entries.
 func (h *history) since(revision uint64, entries int) *wire.CatalogChange {
 	first := slices.IndexFunc(h.changes, func(c *wire.CatalogChange) bool { return c.Base == revision })
 	if first < 0 {
@@ -76,21 +75,20 @@
 			removed[name] = true
 		}
 	}
-	if float64(len(changed)+len(removed)) >= wholeFrom*float64(entries) {
+	if float64(len(changed)+len(removed)) >= maxChangePart*float64(entries) {
 		return nil
 	}
-	out.Changed = slices.SortedFunc(maps.Values(changed), byName)
+	out.Changed = slices.SortedFunc(maps.Values(changed), compareNames)
 	out.Removed = slices.Sorted(maps.Keys(removed))
 	return out
 }
 
-// applied returns the catalog that a change leads to; ok is false where it isn't of the
-// catalog's revision.
-func applied(c *wire.Catalog, change *wire.CatalogChange) (next *wire.Catalog, ok bool) {
+// applyChange applies a change to a catalog. ok is false if the change is based on another revision.
+func applyChange(c *wire.Catalog, change *wire.CatalogChange) (next *wire.Catalog, ok bool) {
 	if c == nil || c.Revision != change.Base {
 		return nil, false
 	}
-	entries := byNames(c)
+	entries := entriesByName(c)
 	for _, e := range change.Changed {
 		entries[e.Name] = e
 	}
@@ -98,6 +96,6 @@
 		delete(entries, name)
 	}
 	return &wire.Catalog{
-		Revision: change.Revision, Entries: slices.SortedFunc(maps.Values(entries), byName),
+		Revision: change.Revision, Entries: slices.SortedFunc(maps.Values(entries), compareNames),
 	}, true
 }
--- a/generation/history_test.go
+++ b/generation/history_test.go
@@ -12,10 +12,10 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// TestFewChangesAreSentAsChanges takes one backend server out of many, and adds one: a
-// router that is a revision behind gets these two, and one that has missed more than is
-// kept, or knows nothing, the whole.
-func TestFewChangesAreSentAsChanges(t *testing.T) {
+// TestSmallChangeIsSentAsDelta removes one backend server out of many and adds one: a router that is one revision
+// behind must get these two, and a router that has no catalog or has missed more than is kept must get the full
+// catalog.
+func TestSmallChangeIsSentAsDelta(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
 	many := func(from, to int) []int {
@@ -44,21 +44,19 @@
 	is.Equal(len(out.Catalog.Entries), 300)
 }
 
-// TestChangeOnAnotherRevisionIsLeftOut answers a router with the changes from a revision
-// that it doesn't hold any more.
-func TestChangeOnAnotherRevisionIsLeftOut(t *testing.T) {
+// TestChangeOnOtherRevisionIsIgnored sends a router the changes since a revision that it no longer has.
+func TestChangeOnOtherRevisionIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
 	s.installCatalog(catalogOf(5, 1, 2, 3))
-	s.takeCatalog(&wire.FetchResponse{Change: &wire.CatalogChange{Base: 4, Revision: 6, Removed: []string{"engine-1"}}})
+	s.installFetched(&wire.FetchResponse{Change: &wire.CatalogChange{Base: 4, Revision: 6, Removed: []string{"engine-1"}}})
 	is.Equal(s.versions().Catalog, uint64(5))
 	is.Equal(len(s.catalog.held.Entries), 3)
 }
 
-// TestCatalogsAgree lets routers follow a catalog through each other, as drawn: answers
-// are lost, late or overtake one another, and routers restart with nothing. Each that has
-// the last revision has the same backend servers, and all have it once it is quiet.
-func TestCatalogsAgree(t *testing.T) {
+// TestCatalogsConverge lets routers fetch a catalog from each other in drawn order: responses are lost, delayed or
+// reordered, and routers restart without state. Finally all must have the backend servers of the last revision.
+func TestCatalogsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]*Service, rapid.IntRange(2, 6).Draw(t, "routers"))
 		for i := range routers {
@@ -80,12 +78,12 @@
 				truth = changed(t, truth)
 				routers[0].installCatalog(proto.Clone(truth).(*wire.Catalog))
 			case "fetch":
-				routers[i].takeCatalog(ask(i, rapid.IntRange(0, len(routers)-1).Draw(t, "from")))
+				routers[i].installFetched(ask(i, rapid.IntRange(0, len(routers)-1).Draw(t, "from")))
 			case "late":
 				late[i] = append(late[i], ask(i, rapid.IntRange(0, len(routers)-1).Draw(t, "from")))
 			case "arrive":
 				if n := len(late[i]); n > 0 {
-					routers[i].takeCatalog(late[i][rapid.IntRange(0, n-1).Draw(t, "which")])
+					routers[i].installFetched(late[i][rapid.IntRange(0, n-1).Draw(t, "which")])
 				}
 			case "restart":
 				routers[i] = newTestService()
@@ -94,21 +92,21 @@
 		truth = changed(t, truth)
 		routers[0].installCatalog(proto.Clone(truth).(*wire.Catalog))
 		for i := range routers {
-			routers[i].takeCatalog(ask(i, 0))
+			routers[i].installFetched(ask(i, 0))
 			held := &wire.Catalog{Revision: truth.Revision, Entries: routers[i].catalog.held.GetEntries()}
-			if !proto.Equal(held, truth) { // the revision stays where nothing else has changed
-				t.Fatalf("router %d holds %v, not %v", i, held, truth)
+			if !proto.Equal(held, truth) { // the revision does not change if nothing else has
+				t.Fatalf("router %d has %v, want %v", i, held, truth)
 			}
 		}
 	})
 }
 
-// changed returns the catalog after some backend servers have come, gone, or begun to leave.
+// changed returns a catalog in which some backend servers were added, removed, or have begun to leave.
 func changed(t *rapid.T, before *wire.Catalog) *wire.Catalog {
 	out := &wire.Catalog{Revision: before.Revision + uint64(rapid.IntRange(1, 3).Draw(t, "revisions"))}
 	for _, e := range before.Entries {
 		switch rapid.IntRange(0, 9).Draw(t, "fate") {
-		case 0: // gone
+		case 0: // removed
 		case 1:
 			leaving := proto.Clone(e).(*wire.CatalogEntry)
 			leaving.Leaving = true
--- a/generation/lapse.go
+++ b/generation/lapse.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// lapseKept is how long backend servers are kept whose announcements have run out
-	// together. Those that live write themselves back within about two seconds of the
-	// store's return; a planned end that says nothing is served on for longer than this.
-	lapseKept = 1500 * time.Millisecond
-	// lapseLeast is how many of a pool must be gone at once, and lapsePart what part of
-	// it, for that to be taken for the store's doing.
-	lapseLeast = 2
-	lapsePart  = 0.5
+	// lapseGrace is how long backend servers are kept whose announcements expired together. Live ones renew their
+	// announcements within about two seconds of the recovery of the store. A backend server that shuts down as
+	// planned, but without announcing it, keeps serving for longer than this.
+	lapseGrace = 1500 * time.Millisecond
+	// minLapsed is the number, and minLapsedPart the part, of a pool's backend servers that must be missing at once
+	// for the store to be considered the cause.
+	minLapsed     = 2
+	minLapsedPart = 0.5
 )
 
-// lapsed holds the backend servers whose announcements have run out together, by name.
+// lapsed holds the backend servers whose announcements expired together, by name.
 type lapsed struct {
 	entries map[string]*wire.CatalogEntry
 	until   time.Time
 }
 
-// noteLapse keeps the backend servers that a newer catalog lacks, where so many of a
-// pool are gone at once that it is the store that has lost them: leases run out while it
-// is away. One that had said that it leaves isn't kept. The caller holds the lock.
-func (s *Service) noteLapse(before, after *wire.Catalog) {
-	gone := goneTogether(before, after)
+// keepLapsed keeps the backend servers that are missing from a newer catalog if so many of a pool are missing at once
+// that the store has lost them: leases expire while it is unavailable. Backend servers that announced that they leave
+// are not kept. The caller holds the lock.
+func (s *Service) keepLapsed(before, after *wire.Catalog) {
+	gone := lapsedTogether(before, after)
 	if len(gone) == 0 {
 		return
 	}
@@ -38,15 +38,15 @@
 	for _, e := range gone {
 		l.entries[e.Name] = e
 	}
-	l.until = time.Now().Add(lapseKept)
-	s.log.Warn().Int("backends", len(gone)).Uint64("catalog", after.Revision).Dur("kept_ms", lapseKept).
+	l.until = time.Now().Add(lapseGrace)
+	s.log.Warn().Int("backends", len(gone)).Uint64("catalog", after.Revision).Dur("kept_ms", lapseGrace).
 		Msg("announcements ran out together: backend servers kept")
-	time.AfterFunc(lapseKept, s.endLapse)
+	time.AfterFunc(lapseGrace, s.endLapse)
 }
 
-// goneTogether returns the entries of pools of which a catalog lacks many that the one
-// before it has.
-func goneTogether(before, after *wire.Catalog) []*wire.CatalogEntry {
+// lapsedTogether returns the entries that are missing from the newer catalog, for those pools of which many are
+// missing.
+func lapsedTogether(before, after *wire.Catalog) []*wire.CatalogEntry {
 	there := map[string]bool{}
 	for _, e := range after.GetEntries() {
 		there[e.Name] = true
@@ -65,7 +65,7 @@
 	var out []*wire.CatalogEntry
 	for _, e := range before.GetEntries() {
 		n := len(missing[e.Pool])
-		many := n >= lapseLeast && float64(n) >= lapsePart*float64(all[e.Pool])
+		many := n >= minLapsed && float64(n) >= minLapsedPart*float64(all[e.Pool])
 		if many && !e.Leaving && !there[e.Name] {
 			out = append(out, e)
 		}
@@ -73,7 +73,7 @@
 	return out
 }
 
-// endLapse gives up the backend servers that haven't come back.
+// endLapse removes the backend servers that have not announced themselves again.
 func (s *Service) endLapse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +90,7 @@
 	}
 }
 
-// withLapsed returns the entries of the catalog and the backend servers kept beside it.
-// The caller holds the lock.
+// withLapsed returns the entries of the catalog and the lapsed entries that are kept. The caller holds the lock.
 func (s *Service) withLapsed() []*wire.CatalogEntry {
 	out := s.catalog.held.GetEntries()
 	there := map[string]bool{}
--- a/generation/lapse_test.go
+++ b/generation/lapse_test.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// catalogOf returns a catalog of one pool with the backend servers of the numbers.
+// catalogOf returns a catalog of one pool with the numbered backend servers.
 func catalogOf(revision uint64, numbers ...int) *wire.Catalog {
 	out := &wire.Catalog{Revision: revision}
 	for _, n := range numbers {
@@ -28,8 +28,8 @@
 	return s
 }
 
-// TestLapsedBackendsAreKept lets the announcements of most backend servers run out at
-// once, as when the store was away, and some of them come back.
+// TestLapsedBackendsAreKept lets the announcements of most backend servers expire at once, as after an outage of the
+// store, and some of them return.
 func TestLapsedBackendsAreKept(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
@@ -39,15 +39,16 @@
 	s.installCatalog(catalogOf(3, 1, 2, 3))
 	is.Equal(len(s.withLapsed()), 6)
 	s.endLapse()
-	is.Equal(len(s.withLapsed()), 6) // it isn't time yet
+	is.Equal(len(s.withLapsed()), 6) // the grace period is not over
 	s.catalog.lapsed.until = time.Now()
 	edition := s.catalog.edition
 	s.endLapse()
 	is.Equal(len(s.withLapsed()), 3)
-	is.True(s.catalog.edition > edition) // the core takes it though the catalog is the same
+	is.True(s.catalog.edition > edition) // the core accepts the new state though the catalog is the same
 }
 
-// TestLeavingBackendsAreNotKept lets backend servers go that said so, and few of many.
+// TestLeavingBackendsAreNotKept removes backend servers that announced that they leave, and then a minority of a
+// pool.
 func TestLeavingBackendsAreNotKept(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
--- a/generation/pace_test.go
+++ b/generation/pace_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// TestPaceOfWatches lets changes come in a burst, one by one, and the store fail.
+// TestPaceOfWatches checks the delays for a burst of changes, single changes and failures.
 func TestPaceOfWatches(t *testing.T) {
 	is := is.New(t)
 	var p pace
@@ -15,7 +15,7 @@
 	is.Equal(p.afterChange(0), 2*watchPause)
 	is.Equal(p.afterChange(0), maxWatchPause)
 	is.Equal(p.afterChange(0), maxWatchPause)
-	is.Equal(p.afterChange(time.Second), watchPause) // the next one is told of soon again
+	is.Equal(p.afterChange(time.Second), watchPause) // the delay is reset after a burst
 	is.Equal(p.afterFailure(), retryPause)
 	is.Equal(p.afterFailure(), 2*retryPause)
 	is.Equal(p.afterFailure(), maxRetryPause)
--- a/generation/returned_test.go
+++ b/generation/recovery_test.go
@@ -1,13 +1,12 @@
 package generation
 
-// The incident these tests are of. Seen: after the store had been silent for five seconds, four
-// changes of the configuration were acknowledged, and for 5.4 s after the first of them no router
-// had any in force; routes that had been added were refused, and requests ran by old ones. How it
-// came about: all routers that watch had seen a change just before the silence, so that all began to
-// watch anew at the same moments in it, the last time a quarter of a second before the store was back.
-// Cause: a watch that is begun in a silence is never answered, and was waited for to its end, though
-// other calls were answered meanwhile. Proof: in a run with the watches logged, those begun 0.07 s
-// before the store's return ended unanswered after 5.5 s, and those begun then in 7 ms.
+// These tests guard against watches that stay unanswered after an outage of the store. After an outage of five seconds,
+// four changes of the configuration were acknowledged, and for 5.4 s after the first of them no router had any in force:
+// routes that had been added were refused, and requests ran by old ones. All routers that watch the store had received a
+// change just before the outage, so that all restarted their watches at the same moments, the last time a quarter of a
+// second before the store recovered. A watch that begins during an outage is never answered, and routers waited for its
+// time-out while other calls were answered. Watches that began 0.07 s before the recovery ended unanswered after 5.5 s;
+// those that began after it ended in 7 ms.
 
 import (
 	"context"
@@ -33,23 +32,22 @@
 )
 
 const (
-	// answerAfter is how long the store takes for an answer, and callPatience and
-	// watchPatience how long its adapter waits for one of a call and of a watch; the store
-	// holds a watch that sees nothing for watchHeld.
-	answerAfter   = 4 * time.Millisecond
-	callPatience  = 1500 * time.Millisecond
-	watchPatience = 5500 * time.Millisecond
-	watchHeld     = 4 * time.Second
-	// inForceBound is how soon after its acknowledgement users want a change in force.
+	// answerAfter is the response time of the store, callTimeout and watchTimeout are the time-outs of the adapter
+	// for calls and watches, and watchHeld is how long the store holds a watch without changes.
+	answerAfter  = 4 * time.Millisecond
+	callTimeout  = 1500 * time.Millisecond
+	watchTimeout = 5500 * time.Millisecond
+	watchHeld    = 4 * time.Second
+	// inForceBound is the time limit for a change to be in force after its acknowledgement.
 	inForceBound = 2 * time.Second
 )
 
-// silentStore is a store in memory that can fall silent: calls made then are never answered,
-// also after its return. Watches that it holds as it falls silent go on.
+// silentStore is a store in memory with outages: calls made during an outage are never answered, also after it.
+// Watches that are pending when an outage begins continue.
 type silentStore struct {
 	mu       sync.Mutex
 	revision uint64
-	config   uint64 // revision of the configuration, which is its generation as well
+	config   uint64 // revision of the configuration, and its generation
 	server   uint64 // revision of the backend server's entry
 	leaving  bool
 	silent   bool
@@ -58,7 +56,7 @@
 
 func newSilentStore() *silentStore { return &silentStore{changed: make(chan struct{})} }
 
-// change makes a change with the lock held, and wakes the watches.
+// change makes a change with the lock held and wakes the watches.
 func (s *silentStore) change(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +65,7 @@
 	s.changed = make(chan struct{})
 }
 
-// write writes a configuration, and lets the backend server say whether it leaves.
+// write writes a configuration and the backend server's entry.
 func (s *silentStore) write(leaving bool) {
 	s.change(func() {
 		s.config, s.server, s.leaving = s.revision+1, s.revision+2, leaving
@@ -75,24 +73,24 @@
 	})
 }
 
-func (s *silentStore) fallSilent(silent bool) { s.change(func() { s.silent = silent }) }
+func (s *silentStore) setSilent(silent bool) { s.change(func() { s.silent = silent }) }
 
-// reach waits for the store to take a call; it fails where that is never answered.
-func (s *silentStore) reach(ctx context.Context, patience time.Duration) error {
+// await waits for the store to accept a call. It fails after the time-out if the call is never answered.
+func (s *silentStore) await(ctx context.Context, timeout time.Duration) error {
 	s.mu.Lock()
 	silent := s.silent
 	s.mu.Unlock()
 	if !silent {
-		rest(ctx, answerAfter)
+		sleep(ctx, answerAfter)
 		return ctx.Err()
 	}
-	rest(ctx, patience)
+	sleep(ctx, timeout)
 	return store.Unavailable.New("no answer")
 }
 
-// watch waits until a revision is above since; 0 is returned where it isn't in time.
+// watch waits until a revision is above since. It returns 0 if that does not happen within watchHeld.
 func (s *silentStore) watch(ctx context.Context, since uint64, of func() uint64) (uint64, error) {
-	if err := s.reach(ctx, watchPatience); err != nil {
+	if err := s.await(ctx, watchTimeout); err != nil {
 		return 0, err
 	}
 	held := time.After(watchHeld)
@@ -132,11 +130,11 @@
 	return s.revision
 }
 
-// storedOperators are the operators of such a store. It implements Operators.
+// storedOperators implements Operators with a silentStore.
 type storedOperators struct{ *silentStore }
 
 func (o storedOperators) Read(ctx context.Context, _ bool) (Written, uint64, error) {
-	err := o.reach(ctx, callPatience)
+	err := o.await(ctx, callTimeout)
 	return o.written(), o.at(), err
 }
 
@@ -148,11 +146,11 @@
 	return o.written(), at, nil
 }
 
-// storedServers are the backend servers of such a store. It implements Discovery.
+// storedServers implements Discovery with a silentStore.
 type storedServers struct{ *silentStore }
 
 func (d storedServers) List(ctx context.Context, _ bool) ([]Announcement, uint64, error) {
-	err := d.reach(ctx, callPatience)
+	err := d.await(ctx, callTimeout)
 	return d.announced(), d.at(), err
 }
 
@@ -164,16 +162,15 @@
 	return d.announced(), at, nil
 }
 
-// pings answers the smallest of calls. It implements store.Store, of which no other call is
-// made here.
+// pings implements the Ping call of store.Store. No other call is made here.
 type pings struct {
 	store.Store
 	*silentStore
 }
 
-func (p pings) Ping(ctx context.Context) error { return p.reach(ctx, callPatience) }
+func (p pings) Ping(ctx context.Context) error { return p.await(ctx, callTimeout) }
 
-// numbered is a configuration that is no more than its generation. It implements Format.
+// numbered implements Format for a configuration that consists of its generation number.
 type numbered struct{}
 
 func (numbered) Key() string { return "configuration" }
@@ -190,19 +187,18 @@
 	return &config.File{Version: config.Version, Policy: "prompt-affinity"}, nil
 }
 
-// loneCore runs the core of a fleet's only router, which watches the store. It implements
-// Decisions.
-type loneCore struct {
+// singleCore implements Scheduler with the core of a single router, which watches the store.
+type singleCore struct {
 	observer scheduler.Observer
 	events   chan core.Event
 }
 
-func (l *loneCore) Tell(e core.Event)            { l.events <- e }
-func (l *loneCore) Observe(o scheduler.Observer) { l.observer = o }
-func (l *loneCore) Configure(c *config.InForce)  { l.Tell(core.Configure{Config: c.Core}) }
+func (l *singleCore) Tell(e core.Event)            { l.events <- e }
+func (l *singleCore) Observe(o scheduler.Observer) { l.observer = o }
+func (l *singleCore) Configure(c *config.InForce)  { l.Tell(core.Configure{Config: c.Core}) }
 
-// run gives the core its events and time until the context ends.
-func (l *loneCore) run(ctx context.Context) {
+// run steps the core with events and time until ctx ends.
+func (l *singleCore) run(ctx context.Context) {
 	began := time.Now()
 	now := func() model.Time { return time.Since(began) }
 	c := core.New(0, member.Member{Name: "router", DataHall: "hall", Boot: 1}, 1)
@@ -218,7 +214,7 @@
 	}
 }
 
-func (l *loneCore) act(actions []core.Action) {
+func (l *singleCore) act(actions []core.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case core.WatchStore:
@@ -231,46 +227,46 @@
 	}
 }
 
-// followReturn lets a store fall silent some time after a change, and makes two more right
-// after its return. It returns how long these took until they were in force.
-func followReturn(t *testing.T, after, lasts time.Duration) (took time.Duration) {
+// recoveryTime starts an outage some time after a change, makes two more changes right after its end, and returns how
+// long these take to be in force.
+func recoveryTime(t *testing.T, after, outage time.Duration) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		far := newSilentStore()
-		far.write(false)
-		source := Source{Store: pings{silentStore: far}, Format: numbered{}, Operators: storedOperators{far}, Discovery: storedServers{far}}
+		st := newSilentStore()
+		st.write(false)
+		source := Source{Store: pings{silentStore: st}, Format: numbered{}, Operators: storedOperators{st}, Discovery: storedServers{st}}
 		s := New(source, zerolog.Nop(), telemetry.NewMetrics().Platform)
-		l := &loneCore{events: make(chan core.Event, 16)}
-		s.decisions = l
+		l := &singleCore{events: make(chan core.Event, 16)}
+		s.scheduler = l
 		s.begin(t.Context())
 		go l.run(s.run)
 		time.Sleep(5 * time.Second)
-		far.write(false)
+		st.write(false)
 		time.Sleep(after)
-		far.fallSilent(true)
-		time.Sleep(lasts)
-		far.fallSilent(false)
-		far.write(true)
-		returned := time.Now()
-		newest := core.Versions{Generation: far.at() - 1, Catalog: far.at()}
+		st.setSilent(true)
+		time.Sleep(outage)
+		st.setSilent(false)
+		st.write(true)
+		recovered := time.Now()
+		newest := core.Versions{Generation: st.at() - 1, Catalog: st.at()}
 		for newest.Exceed(s.versions()) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		took = time.Since(returned)
+		took = time.Since(recovered)
 		s.cancel()
 		s.ended.Wait()
 	})
 	return took
 }
 
-// TestChangesAreInForceSoonAfterTheStoresReturn lets the store fall silent at any point between
-// two watches, for as long as a few of them.
-func TestChangesAreInForceSoonAfterTheStoresReturn(t *testing.T) {
+// TestChangesTakeEffectSoonAfterStoreRecovers starts the outage at any point between two watches and varies its
+// length up to that of a few of them.
+func TestChangesTakeEffectSoonAfterStoreRecovers(t *testing.T) {
 	is := is.New(t)
 	worst, when := time.Duration(0), ""
-	for lasts := time.Second; lasts <= 12*time.Second; lasts += 700 * time.Millisecond {
+	for outage := time.Second; outage <= 12*time.Second; outage += 700 * time.Millisecond {
 		for after := time.Duration(0); after < watchHeld; after += 130 * time.Millisecond {
-			if took := followReturn(t, after, lasts); took > worst {
-				worst, when = took, fmt.Sprintf("silent for %v, %v after a change", lasts, after)
+			if took := recoveryTime(t, after, outage); took > worst {
+				worst, when = took, fmt.Sprintf("outage of %v, %v after a change", outage, after)
 			}
 		}
 	}
--- a/generation/restarts.go
+++ b/generation/restarts.go
@@ -5,15 +5,15 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// incarnationOf returns the run that an entry is of.
+// incarnationOf returns the incarnation of a catalog entry.
 func incarnationOf(e *wire.CatalogEntry) model.Incarnation {
 	return model.Incarnation{Name: e.Name, Born: e.BornMs}
 }
 
-// noteRestarts tells of the backend servers that a newer catalog has another run of. All that is known of the run
-// before ends with it, as it is kept by the run's identity. The caller holds the lock.
-func (s *Service) noteRestarts(before, after *wire.Catalog) {
-	old := byNames(before)
+// reportRestarts logs and counts the backend servers that have a newer incarnation in a newer catalog. State of the
+// previous incarnation needs no reset, as it is stored by incarnation. The caller holds the lock.
+func (s *Service) reportRestarts(before, after *wire.Catalog) {
+	old := entriesByName(before)
 	for _, e := range after.GetEntries() {
 		o := old[e.Name]
 		if o == nil || !incarnationOf(e).Follows(incarnationOf(o)) {
--- a/generation/restarts_test.go
+++ b/generation/restarts_test.go
@@ -16,12 +16,13 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// runOf is the entry of a run of a backend server.
+// runOf returns the catalog entry of an incarnation.
 func runOf(name string, born uint64) *wire.CatalogEntry {
 	return &wire.CatalogEntry{Name: name, Pool: "engines", Address: "10.0.0.1:8080", DataHall: "hall-a", Slots: 4, BornMs: born}
 }
 
-// running returns the run of a backend server that is in force, 0 for none.
+// running returns the start time of the incarnation of a backend server that is in force, 0 for none, and the number
+// of its incarnations in force.
 func (s *Service) running(name string) (born uint64, found int) {
 	in := s.file.With(config.Surroundings{Catalog: s.catalog.held.GetRevision(), Discovered: discovered(s.withLapsed())})
 	for id, b := range in.Core.Backends {
@@ -35,7 +36,7 @@
 	return born, found
 }
 
-// drawCatalogs draws restarts of two backend servers, under clocks that jump, and returns the catalog after each.
+// drawCatalogs draws restarts of two backend servers, with clocks that jump, and returns the catalog after each.
 func drawCatalogs(t *rapid.T) []*wire.Catalog {
 	var out []*wire.Catalog
 	now := []*wire.CatalogEntry{runOf("a", 50), runOf("b", 50)}
@@ -47,7 +48,8 @@
 	return out
 }
 
-// checkRuns wants one run in force of each backend server of the catalog, which is known by an identity of its own.
+// checkRuns checks that exactly one incarnation of each backend server of the catalog is in force, with an identifier
+// of its own.
 func (s *Service) checkRuns(t *rapid.T, known map[model.BackendID]uint64) {
 	for _, e := range s.catalog.held.GetEntries() {
 		if born, found := s.running(e.Name); found != 1 || born != e.BornMs {
@@ -55,17 +57,17 @@
 		}
 		id := incarnationOf(e).Backend()
 		if born, before := known[id]; before && born != e.BornMs {
-			t.Fatal("what is known of one run is taken for true of another")
+			t.Fatal("two incarnations have the same identifier")
 		}
 		known[id] = e.BornMs
 	}
 }
 
-// TestLateNewsOfARunBringNothingBack lets three routers hear of drawn restarts by the store and from each other in any
-// order, late and more than once: each has what the newest catalog says that it has heard of.
-func TestLateNewsOfARunBringNothingBack(t *testing.T) {
+// TestDelayedUpdatesDoNotRestorePreviousRun lets three routers receive drawn restarts from the store and from each
+// other, out of order, delayed and repeated: each must have the newest catalog that it has received.
+func TestDelayedUpdatesDoNotRestorePreviousRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := drawCatalogs(t)
+		catalogs := drawCatalogs(t)
 		routers := []*Service{newTestService(), newTestService(), newTestService()}
 		for _, r := range routers {
 			r.file = config.Compile(1, &config.File{Policy: "prompt-affinity", Pools: []config.Pool{{Name: "engines", Kind: config.KindEngine, Discovered: true}}})
@@ -73,13 +75,13 @@
 		known := map[model.BackendID]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "news") {
 			r := routers[rapid.IntRange(0, 2).Draw(t, "router")]
-			next := told[rapid.IntRange(0, len(told)-1).Draw(t, "catalog")]
+			next := catalogs[rapid.IntRange(0, len(catalogs)-1).Draw(t, "catalog")]
 			if other := routers[rapid.IntRange(0, 2).Draw(t, "other")]; other.catalog.held != nil && rapid.Bool().Draw(t, "by a router") {
 				next = other.catalog.held
 			}
 			newest := max(r.catalog.held.GetRevision(), next.Revision)
 			r.installCatalog(next)
-			if told[newest-1].Entries[0].BornMs != r.catalog.held.Entries[0].BornMs || told[newest-1].Entries[1].BornMs != r.catalog.held.Entries[1].BornMs {
+			if catalogs[newest-1].Entries[0].BornMs != r.catalog.held.Entries[0].BornMs || catalogs[newest-1].Entries[1].BornMs != r.catalog.held.Entries[1].BornMs {
 				t.Fatalf("revision %d isn't in force", newest)
 			}
 			r.checkRuns(t, known)
@@ -106,9 +108,9 @@
 	t.Fatal("no counter")
 }
 
-// TestACopyBringsNoRunBack lets the store come back from a copy in which a backend server has the run before: the newer one
-// holds until it has written its entry again.
-func TestACopyBringsNoRunBack(t *testing.T) {
+// TestBackupDoesNotRestorePreviousRun restores the store from a backup that contains the previous incarnation of a
+// backend server: the newer one stays in force until the backend server has written its entry again.
+func TestBackupDoesNotRestorePreviousRun(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
 	s.file = config.Compile(1, &config.File{Policy: "prompt-affinity", Pools: []config.Pool{{Name: "engines", Kind: config.KindEngine, Discovered: true}}})
@@ -117,20 +119,20 @@
 		all := discovered([]*wire.CatalogEntry{runOf("a", born)})
 		before := s.catalog.entries
 		s.catalog.entries = map[string]*wire.CatalogEntry{}
-		told := []Announcement{{Key: "a", Revision: at, Backend: &all[0]}}
-		s.settleCatalog(told, at)
-		s.takeAnnouncements(told, at, before)
+		announced := []Announcement{{Key: "a", Revision: at, Backend: &all[0]}}
+		s.settleCatalog(announced, at)
+		s.applyAnnouncements(announced, at, before)
 	}
 	list(0, 5, 50)
-	list(0, 9, 40) // started again, under a clock that was set back
+	list(0, 9, 40) // restarted with a clock that was set back
 	list(1, 6, 50)
 	born, found := s.running("a")
 	is.Equal(found, 1)
 	is.Equal(born, uint64(40))
 	written := discovered([]*wire.CatalogEntry{runOf("a", 60)})
 	change := Announcement{Key: "a", Revision: uint64(model.VersionOf(1, 7)), Backend: &written[0]}
-	s.noteWritten(change)
-	s.takeAnnouncements([]Announcement{change}, change.Revision, s.catalog.entries)
+	s.recordWritten(change)
+	s.applyAnnouncements([]Announcement{change}, change.Revision, s.catalog.entries)
 	born, _ = s.running("a")
 	is.Equal(born, uint64(60))
 }
--- a/generation/settle.go
+++ b/generation/settle.go
@@ -9,55 +9,57 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// A store that comes back from a copy says what held seconds ago: a backend server that left is there as a new one would be, one that
-// drains is ready, one that started since is missing, an evacuation is gone or there again. Operators and backend servers
-// write again what they wrote. Until each has, or settleFor is over, what held before the return goes on to hold where the copy
-// differs; whatever is written after the return holds at once.
+// A store that is restored from a backup has state that is seconds old: a backend server that left appears like a new
+// one, one that drains appears ready, one that started since is missing, and an evacuation is missing or present again.
+// Operators and backend servers repeat their writes. Until they have, or settlePeriod is over, the state before the
+// restore stays in force where the backup differs. Anything written after the restore is in force at once.
 
 const (
-	// settleFor is how long after a return the copy isn't believed where it differs from what held before. Backend servers
-	// write their entries about every 1.2 s (the platform's heartbeat), so that this is four times as long.
-	settleFor = 5 * time.Second
-	// departedFor is how long it is remembered that a backend server has gone: longer than a copy is old.
-	departedFor = 2 * time.Minute
+	// settlePeriod is how long after a restore the state before it stays in force where the backup differs. Backend
+	// servers write their entries about every 1.2 s (the heartbeat of the platform), so that this is four times as
+	// long.
+	settlePeriod = 5 * time.Second
+	// departedRetention is how long removed backend servers are remembered: longer than the age of a backup.
+	departedRetention = 2 * time.Minute
 )
 
-// settling is what holds of backend servers until they have written their entries again.
+// settling is the state of backend servers that have not written their entries since the store was restored.
 type settling struct {
 	until time.Time
-	// kept holds the entries as they were, by name; nil stands for one that had gone.
+	// kept holds the previous entries by name, nil for a backend server that had been removed.
 	kept map[string]*wire.CatalogEntry
-	last uint64 // revision of the last change that was seen
+	last uint64 // revision of the last received change
 }
 
-// told returns the revision that a state is told to other routers with: it is the next lower one while it isn't
-// settled, so that the settled one goes before it everywhere even where nothing is written in between.
-func told(revision uint64, settled bool) uint64 {
+// publishedRevision returns the revision that is sent to other routers with a state. It is lower by one while the
+// state is not settled, so that the settled state replaces it everywhere even if nothing is written in between.
+func publishedRevision(revision uint64, settled bool) uint64 {
 	if settled {
 		return revision
 	}
 	return revision - 1
 }
 
-// startRevision returns the revision that a state is told with which a router has read as it started: of the first era, as it
-// can't know whether the store has just come back. What others know since goes before it.
-func startRevision(revision uint64) uint64 {
+// initialRevision returns the revision that is sent to other routers with the state that a router read as it started.
+// It is of the first era, because the router cannot tell whether the store has just been restored: state that other
+// routers have received since replaces it.
+func initialRevision(revision uint64) uint64 {
 	return uint64(model.VersionOf(0, model.Version(revision).Revision()))
 }
 
 func eraOf(revision uint64) uint32 { return model.Version(revision).Era() }
 
-// settleCatalog begins to settle where a list is the first of an era. The caller holds the lock.
+// settleCatalog starts the settle period if a list is the first of an era. The caller holds the lock.
 func (s *Service) settleCatalog(all []Announcement, at uint64) {
 	c := &s.catalog
-	returned := c.held != nil && eraOf(at) > c.era
+	restored := c.held != nil && eraOf(at) > c.era
 	c.era = max(c.era, eraOf(at))
-	if !returned {
+	if !restored {
 		return
 	}
 	listed := map[string]bool{}
 	kept := map[string]*wire.CatalogEntry{}
-	before := byNames(c.held)
+	before := entriesByName(c.held)
 	for _, a := range all {
 		if a.Backend == nil {
 			continue
@@ -67,7 +69,7 @@
 		switch old, had := before[name]; {
 		case had && (old.Leaving && !a.Backend.Leaving || a.Backend.Follows(incarnationOf(old))):
 			kept[name] = old
-		case !had && time.Since(c.departed[name]) < departedFor:
+		case !had && time.Since(c.departed[name]) < departedRetention:
 			kept[name] = nil
 		}
 	}
@@ -76,18 +78,18 @@
 			kept[name] = old
 		}
 	}
-	c.settling = settling{until: time.Now().Add(settleFor), kept: kept}
-	s.log.Warn().Uint64("catalog", at).Int("kept", len(kept)).Dur("settle_ms", settleFor).Msg("backend servers are kept as they were before the store's return")
-	time.AfterFunc(settleFor, s.endSettling)
+	c.settling = settling{until: time.Now().Add(settlePeriod), kept: kept}
+	s.log.Warn().Uint64("catalog", at).Int("kept", len(kept)).Dur("settle_ms", settlePeriod).Msg("backend servers are kept as they were before the store's return")
+	time.AfterFunc(settlePeriod, s.endSettling)
 }
 
-// written takes that an entry was written again, or taken back. The caller holds the lock.
-func (s *settling) written(name string) { delete(s.kept, name) }
+// markWritten records that an entry was written again or withdrawn. The caller holds the lock.
+func (s *settling) markWritten(name string) { delete(s.kept, name) }
 
-// over returns the entries with those that are kept as they were.
-func (s *settling) over(entries map[string]*wire.CatalogEntry) []*wire.CatalogEntry {
+// overlay returns the entries with the previous ones that are kept in place of theirs.
+func (s *settling) overlay(entries map[string]*wire.CatalogEntry) []*wire.CatalogEntry {
 	if len(s.kept) == 0 {
-		return slices.SortedFunc(maps.Values(entries), byName)
+		return slices.SortedFunc(maps.Values(entries), compareNames)
 	}
 	out := map[string]*wire.CatalogEntry{}
 	for _, e := range entries {
@@ -99,10 +101,10 @@
 			out[name] = e
 		}
 	}
-	return slices.SortedFunc(maps.Values(out), byName)
+	return slices.SortedFunc(maps.Values(out), compareNames)
 }
 
-// endSettling believes what the store has.
+// endSettling ends the settle period: the state of the store is in force.
 func (s *Service) endSettling() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +112,7 @@
 		return
 	}
 	if c := &s.catalog; len(c.settling.kept) > 0 && !time.Now().Before(c.settling.until) {
-		s.log.Info().Int("kept", len(c.settling.kept)).Msg("backend servers that weren't written again are as the store has them")
+		s.log.Info().Int("kept", len(c.settling.kept)).Msg("backend servers not written since the store was restored: state of the store taken")
 		c.settling.kept = nil
 		s.publishCatalog()
 	}
@@ -120,14 +122,14 @@
 	}
 }
 
-// noteDeparted remembers the backend servers that a newer catalog lacks. The caller holds the lock.
-func (s *Service) noteDeparted(before, after *wire.Catalog) {
+// recordDeparted records the backend servers that are missing from a newer catalog. The caller holds the lock.
+func (s *Service) recordDeparted(before, after *wire.Catalog) {
 	c := &s.catalog
 	if c.departed == nil {
 		c.departed = map[string]time.Time{}
 	}
-	maps.DeleteFunc(c.departed, func(_ string, at time.Time) bool { return time.Since(at) > departedFor })
-	there := byNames(after)
+	maps.DeleteFunc(c.departed, func(_ string, at time.Time) bool { return time.Since(at) > departedRetention })
+	there := entriesByName(after)
 	for _, e := range before.GetEntries() {
 		if there[e.Name] == nil {
 			c.departed[e.Name] = time.Now()
@@ -135,12 +137,12 @@
 	}
 }
 
-// settleHalls begins to settle where a read is the first of an era. The caller holds the lock.
+// settleHalls starts the settle period if a read is the first of an era. The caller holds the lock.
 func (s *Service) settleHalls(own map[string]bool, at uint64) {
 	h := &s.halls
-	returned := h.held != nil && eraOf(at) > h.era
+	restored := h.held != nil && eraOf(at) > h.era
 	h.era = max(h.era, eraOf(at))
-	if !returned {
+	if !restored {
 		return
 	}
 	kept := map[string]bool{}
@@ -154,12 +156,12 @@
 			kept[hall] = false
 		}
 	}
-	h.kept, h.until = kept, time.Now().Add(settleFor)
-	s.log.Warn().Uint64("halls", at).Int("kept", len(kept)).Dur("settle_ms", settleFor).Msg("evacuations are kept as they were before the store's return")
-	time.AfterFunc(settleFor, s.endSettling)
+	h.kept, h.until = kept, time.Now().Add(settlePeriod)
+	s.log.Warn().Uint64("halls", at).Int("kept", len(kept)).Dur("settle_ms", settlePeriod).Msg("evacuations are kept as they were before the store was restored")
+	time.AfterFunc(settlePeriod, s.endSettling)
 }
 
-// evacuated returns the data halls that are evacuated, with those that are kept as they were.
+// evacuated returns the evacuated data halls, with the previous state of those that are kept.
 func (h *halls) evacuated() []string {
 	out := maps.Clone(h.own)
 	for hall, evacuated := range h.kept {
--- a/generation/settle_test.go
+++ b/generation/settle_test.go
@@ -15,14 +15,14 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// storeModel is the plain model of a store that comes back from copies: what is there, what is of which version, and what a watch
-// that began somewhere sees.
+// storeModel is a model of a store that is restored from backups: its entries, their versions, and the changes that a
+// watch returns.
 type storeModel struct {
 	era      uint32
 	revision int64
 	servers  map[string]bool   // by name: whether it leaves
-	states   []map[string]bool // by revision, of this era and what was copied
-	news     []Announcement    // since the last look
+	states   []map[string]bool // by revision, of this era and of the backup
+	changes  []Announcement    // since the last list or watch
 }
 
 func newStoreModel() *storeModel {
@@ -43,7 +43,7 @@
 	return Announcement{Key: "key of " + name, Revision: version, Backend: &config.Discovered{Incarnation: model.Incarnation{Name: name}, Pool: "pool", Leaving: leaving}}
 }
 
-// write writes an entry, or takes it back.
+// write writes or withdraws an entry.
 func (m *storeModel) write(name string, there, leaving bool) {
 	_, was := m.servers[name]
 	if !there && !was {
@@ -53,21 +53,21 @@
 	m.servers = cloneOf(m.servers)
 	if !there {
 		delete(m.servers, name)
-		m.news = append(m.news, Announcement{Key: "key of " + name, Revision: m.version()})
+		m.changes = append(m.changes, Announcement{Key: "key of " + name, Revision: m.version()})
 	} else {
 		m.servers[name] = leaving
-		m.news = append(m.news, announcement(name, leaving, m.version()))
+		m.changes = append(m.changes, announcement(name, leaving, m.version()))
 	}
 	m.states = append(m.states, m.servers)
 }
 
-// comeBack lets the store come back from the copy of a revision.
-func (m *storeModel) comeBack(revision int64) {
+// restore restores the store from the backup of a revision.
+func (m *storeModel) restore(revision int64) {
 	m.era++
 	m.revision = revision
 	m.states = m.states[:revision+1]
 	m.servers = m.states[revision]
-	m.news = nil
+	m.changes = nil
 }
 
 func (m *storeModel) list() []Announcement {
@@ -75,17 +75,17 @@
 	for name, leaving := range m.servers {
 		out = append(out, announcement(name, leaving, m.version()))
 	}
-	slices.SortFunc(out, func(a, b Announcement) int { return byName(entryOf(a.Backend), entryOf(b.Backend)) })
+	slices.SortFunc(out, func(a, b Announcement) int { return compareNames(entryOf(a.Backend), entryOf(b.Backend)) })
 	return out
 }
 
-// settleRun is a router that lists and watches such a store.
+// settleRun is a router that lists and watches a storeModel.
 type settleRun struct {
 	store   *storeModel
 	router  *Service
-	before  map[string]bool // what held before the last return
+	before  map[string]bool // state before the last restore
 	written map[string]bool // names that were written since
-	highest uint64          // version that was told
+	highest uint64          // highest version that was published
 }
 
 func (r *settleRun) list() {
@@ -95,18 +95,18 @@
 	before := r.router.catalog.entries
 	r.router.catalog.entries = map[string]*wire.CatalogEntry{}
 	r.router.settleCatalog(all, r.store.version())
-	r.router.takeAnnouncements(all, r.store.version(), before)
-	r.store.news = nil
+	r.router.applyAnnouncements(all, r.store.version(), before)
+	r.store.changes = nil
 }
 
 func (r *settleRun) watch() {
 	r.router.mu.Lock()
 	defer r.router.mu.Unlock()
-	for _, change := range r.store.news {
-		r.router.noteWritten(change)
-		r.router.takeAnnouncements([]Announcement{change}, change.Revision, r.router.catalog.entries)
+	for _, change := range r.store.changes {
+		r.router.recordWritten(change)
+		r.router.applyAnnouncements([]Announcement{change}, change.Revision, r.router.catalog.entries)
 	}
-	r.store.news = nil
+	r.store.changes = nil
 }
 
 func (r *settleRun) held() map[string]bool {
@@ -117,13 +117,13 @@
 	return out
 }
 
-// check fails where a server that hasn't been written since the return isn't as it was, where one that has isn't as
-// it was written, or where the version that is told has gone back.
+// check fails if a server that has not been written since the restore differs from its previous state, if one that
+// has been written differs from that, or if the published version has decreased.
 func (r *settleRun) check(t *rapid.T) {
 	held := r.held()
 	version := r.router.catalog.held.GetRevision()
 	if version < r.highest {
-		t.Fatalf("version %v is told after %v", model.Version(version), model.Version(r.highest))
+		t.Fatalf("version %v is published after %v", model.Version(version), model.Version(r.highest))
 	}
 	r.highest = version
 	for _, name := range serverNames {
@@ -134,16 +134,17 @@
 		case r.written[name] && (has != there || leaving != truth):
 			t.Fatalf("%s was written: there %v, leaving %v; held: %v, %v", name, there, truth, has, leaving)
 		case !r.written[name] && had && (!has || was && !leaving):
-			t.Fatalf("%s was there, leaving %v, and isn't written yet; held: %v, %v", name, was, has, leaving)
+			t.Fatalf("%s existed, leaving %v, and has not been written; held: %v, %v", name, was, has, leaving)
 		}
 	}
 }
 
 var serverNames = []string{"a", "b", "c", "d"}
 
-// TestServersSettleAfterReturns lets a store come back from copies again and again, while its servers write their entries: what
-// a router holds of a server is what held before until the server has written its entry again, and what it has written from then on.
-func TestServersSettleAfterReturns(t *testing.T) {
+// TestServersSettleAfterRestores restores a store from backups repeatedly while its servers write their entries: a
+// router must keep the previous state of a server until the server has written its entry again, and use the written
+// state from then on.
+func TestServersSettleAfterRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &settleRun{store: newStoreModel(), router: newTestService(), written: map[string]bool{}}
 		name := func() string { return rapid.SampledFrom(serverNames).Draw(t, "server") }
@@ -157,7 +158,7 @@
 				r.watch()
 			}
 			r.before, r.written = r.held(), map[string]bool{}
-			r.store.comeBack(int64(rapid.IntRange(0, int(r.store.revision)).Draw(t, "copy")))
+			r.store.restore(int64(rapid.IntRange(0, int(r.store.revision)).Draw(t, "copy")))
 			r.list()
 			r.check(t)
 			for range rapid.IntRange(0, 6).Draw(t, "rewritten") {
@@ -179,8 +180,8 @@
 	})
 }
 
-// TestServersThatHadGoneStayGone lets a server go, and the store come back with it.
-func TestServersThatHadGoneStayGone(t *testing.T) {
+// TestDepartedServersStayRemovedAfterRestore removes a server and restores the store from a backup that contains it.
+func TestDepartedServersStayRemovedAfterRestore(t *testing.T) {
 	is := is.New(t)
 	r := &settleRun{store: newStoreModel(), router: newTestService()}
 	r.store.write("a", true, false)
@@ -188,31 +189,31 @@
 	r.list()
 	r.store.write("a", false, false)
 	r.watch()
-	r.store.comeBack(2)
+	r.store.restore(2)
 	r.list()
 	is.Equal(r.held(), map[string]bool{"b": false})
-	r.store.write("a", true, false) // it is there after all
+	r.store.write("a", true, false) // it exists after all
 	r.watch()
 	is.Equal(r.held(), map[string]bool{"a": false, "b": false})
 }
 
-// TestStartsDontSpeakForAnEra lets a router start right after a return, with what the copy says: the others don't take it
-// for newer, and it takes theirs.
-func TestStartsDontSpeakForAnEra(t *testing.T) {
+// TestInitialReadDoesNotOverrideNewerState starts a router right after a restore, with the state of the backup: other
+// routers must not consider it newer, and it must take theirs.
+func TestInitialReadDoesNotOverrideNewerState(t *testing.T) {
 	is := is.New(t)
 	old, fresh := newTestService(), newTestService()
 	old.installCatalog(&wire.Catalog{Revision: 70, Entries: []*wire.CatalogEntry{{Name: "a", Leaving: true}}})
 	old.installHalls(&wire.Halls{Revision: 71, Evacuated: []string{"hall"}})
 	at := uint64(model.VersionOf(1, 30))
 	fresh.catalog.entries = map[string]*wire.CatalogEntry{}
-	fresh.takeAnnouncements([]Announcement{announcement("a", false, at)}, startRevision(at), nil)
-	fresh.readEvacuations(nil, at, true)
+	fresh.applyAnnouncements([]Announcement{announcement("a", false, at)}, initialRevision(at), nil)
+	fresh.replaceEvacuations(nil, at, true)
 	is.True(!fresh.versions().Exceed(old.versions()))
 	fresh.installCatalog(old.catalog.held)
 	fresh.installHalls(old.halls.held)
 	is.True(proto.Equal(fresh.catalog.held, old.catalog.held))
 	is.True(proto.Equal(fresh.halls.held, old.halls.held))
-	// As it begins to watch, it keeps them as the others do.
-	fresh.readEvacuations(nil, at, false)
+	// Once it watches the store, it keeps the evacuations as the others do.
+	fresh.replaceEvacuations(nil, at, false)
 	is.Equal(fresh.halls.held.Evacuated, []string{"hall"})
 }
--- a/generation/stale.go
+++ b/generation/stale.go
@@ -9,60 +9,60 @@
 )
 
 const (
-	// staleFor is how long a router may know that another one has a newer configuration, or newer
-	// evacuations, in force until it doesn't serve by its own any more. A fetch takes some milliseconds,
-	// and from a second router half a second; users want a change in force in two.
-	staleFor = time.Second
-	// hearsay is how long ago another router has last said so. One that is cut off from all others goes
-	// on with what it has.
-	hearsay = time.Second
+	// staleGrace is how long a router serves after it has learned that another one has a newer configuration, or
+	// newer evacuations, in force. A fetch takes some milliseconds, and half a second from a second router; a change
+	// has to be in force within two seconds.
+	staleGrace = time.Second
+	// newerSeenTTL is how recent the last report of a newer version must be. A router that is cut off from all others
+	// keeps serving with the state it has.
+	newerSeenTTL = time.Second
 )
 
-// stale is what this router knows of having older state in force than others.
-type stale struct {
-	since atomic.Int64 // when the newer state was first seen, by the clock, 0 for none
-	heard atomic.Int64 // when another router has last told of it
+// stale records whether other routers have newer state in force than this one.
+type staleness struct {
+	since    atomic.Int64 // clock time when the newer state was first seen, 0 if there is none
+	lastSeen atomic.Int64 // clock time when another router last reported it
 }
 
-// noteNewer notes that another router has something newer than the catalog.
-func (s *stale) noteNewer(now time.Duration) {
+// recordNewer records that another router has newer state, other than the catalog.
+func (s *staleness) recordNewer(now time.Duration) {
 	s.since.CompareAndSwap(0, int64(now))
-	s.heard.Store(int64(now))
+	s.lastSeen.Store(int64(now))
 }
 
-// noteHeld notes that nothing newer is known of than what is in force.
-func (s *stale) noteHeld() { s.since.Store(0) }
+// reset records that no newer state is known.
+func (s *staleness) reset() { s.since.Store(0) }
 
-// isStale tells whether the router shouldn't serve by what it has.
-func (s *stale) isStale(now time.Duration) bool {
+// isStale reports whether the router must not serve with its state.
+func (s *staleness) isStale(now time.Duration) bool {
 	since := time.Duration(s.since.Load())
-	return since != 0 && now-since > staleFor && now-time.Duration(s.heard.Load()) < hearsay
+	return since != 0 && now-since > staleGrace && now-time.Duration(s.lastSeen.Load()) < newerSeenTTL
 }
 
-// noteSeen notes what another router has, and whether that is newer than what is in force here. The caller
+// recordSeen records the versions of another router, and whether they are newer than those in force here. The caller
 // holds the lock.
-func (s *Service) noteSeen(theirs core.Versions) {
+func (s *Service) recordSeen(theirs core.Versions) {
 	s.seen.Generation = max(s.seen.Generation, theirs.Generation)
 	s.seen.Halls = max(s.seen.Halls, theirs.Halls)
-	s.noteWhetherStale()
+	s.updateStale()
 }
 
-// noteTaken notes that all that another router had has been taken. What couldn't be read of it is newer
-// still, and isn't waited for.
-func (s *Service) noteTaken() {
+// recordFetched records that the state of another router was fetched. A part that could not be read stays newer, but
+// is not waited for.
+func (s *Service) recordFetched() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = s.heldVersions()
-	s.stale.noteHeld()
+	s.stale.reset()
 }
 
-// noteWhetherStale compares what is in force with the newest that was seen. The caller holds the lock.
-func (s *Service) noteWhetherStale() {
+// updateStale compares the versions in force with the newest ones seen. The caller holds the lock.
+func (s *Service) updateStale() {
 	held := s.heldVersions()
 	held.Catalog = s.seen.Catalog
 	if s.seen.Exceed(held) {
-		s.stale.noteNewer(clock.System.Now())
+		s.stale.recordNewer(clock.System.Now())
 		return
 	}
-	s.stale.noteHeld()
+	s.stale.reset()
 }
--- a/generation/unreadable_test.go
+++ b/generation/unreadable_test.go
@@ -11,10 +11,10 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// TestUnreadableAnnouncementEndsAsALeavingServer lets what can't be read replace a good
-// announcement, come where there was none, and be replaced by a good one: the server that was named
-// gets nothing new and isn't taken for lapsed, all others hold, and a good one counts again.
-func TestUnreadableAnnouncementEndsAsALeavingServer(t *testing.T) {
+// TestUnreadableAnnouncementDrainsServer replaces a valid announcement by an unreadable one, adds an unreadable one
+// for a new key, and replaces an unreadable one by a valid one. The server that was named must be drained and not be
+// taken for lapsed, other servers must stay, and a valid announcement must count again.
+func TestUnreadableAnnouncementDrainsServer(t *testing.T) {
 	is := is.New(t)
 	s := newTestService()
 	s.catalog.entries = map[string]*wire.CatalogEntry{}
@@ -29,16 +29,16 @@
 		}
 		return out
 	}
-	s.takeAnnouncements([]Announcement{good("a"), good("b"), good("c")}, 1, nil)
-	s.takeAnnouncements([]Announcement{bad("a"), bad("b"), bad("new")}, 2, s.catalog.entries)
+	s.applyAnnouncements([]Announcement{good("a"), good("b"), good("c")}, 1, nil)
+	s.applyAnnouncements([]Announcement{bad("a"), bad("b"), bad("new")}, 2, s.catalog.entries)
 	is.Equal(leaving(), map[string]bool{"a": true, "b": true, "c": false})
 	is.Equal(len(s.catalog.lapsed.entries), 0)
 
-	before := s.catalog.entries // and so where all is listed anew
+	before := s.catalog.entries // the same where all announcements are listed again
 	s.catalog.entries = map[string]*wire.CatalogEntry{}
-	s.takeAnnouncements([]Announcement{bad("a"), good("b"), good("c"), bad("new")}, 3, before)
+	s.applyAnnouncements([]Announcement{bad("a"), good("b"), good("c"), bad("new")}, 3, before)
 	is.Equal(leaving(), map[string]bool{"a": true, "b": false, "c": false})
 
-	s.takeAnnouncements([]Announcement{{Key: "a"}}, 4, s.catalog.entries) // taken back
+	s.applyAnnouncements([]Announcement{{Key: "a"}}, 4, s.catalog.entries) // withdrawn
 	is.Equal(leaving(), map[string]bool{"b": false, "c": false})
 }
--- a/generation/watch.go
+++ b/generation/watch.go
@@ -11,12 +11,12 @@
 	"github.com/tamarindstep/tamarindstep/store"
 )
 
-// watchSettle is how long after its start a router doesn't watch: until it knows
-// the others, each takes itself for one of those that do.
-const watchSettle = 1500 * time.Millisecond
+// watchStartDelay is how long after its start a router does not watch the store. Until it has received the list of
+// the other routers, each router computes that it is one of those that watch.
+const watchStartDelay = 1500 * time.Millisecond
 
-// contactStore asks the store for a small answer, and tells the core whether it came.
-func (s *Service) contactStore() {
+// pingStore pings the store and reports the result to the core.
+func (s *Service) pingStore() {
 	if s.run.Err() != nil {
 		return
 	}
@@ -31,66 +31,67 @@
 		if err != nil {
 			s.metrics.StoreFailures.WithLabelValues("ping").Inc()
 		}
-		s.noteContact(began, err)
-		s.decisions.Tell(core.StoreContacted{Reached: err == nil})
+		s.logContact(began, err)
+		s.scheduler.Tell(core.StoreContacted{Reached: err == nil})
 	}()
 }
 
-// waits are the calls of the store that are waited for, and the rests after those that failed.
-type waits struct {
-	mu   sync.Mutex
-	back context.Context // ends when the store is back after silence
-	end  context.CancelFunc
+// storeCalls is the context of the pending calls of the store and of the delays after failed ones.
+type storeCalls struct {
+	mu     sync.Mutex
+	ctx    context.Context // ends when the store answers again after an outage
+	cancel context.CancelFunc
 }
 
-// storeReturned ends all waits for the store that are under way: what was asked in its silence
-// is never answered, and what is asked now is.
-func (s *Service) storeReturned() {
-	w := &s.waits
+// cancelStoreCalls ends all pending calls of the store. Calls that were made during an outage are never answered,
+// whereas calls made afterwards are.
+func (s *Service) cancelStoreCalls() {
+	w := &s.storeCalls
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.end != nil {
-		w.end()
+	if w.cancel != nil {
+		w.cancel()
 	}
-	w.back, w.end = context.WithCancel(s.run)
+	w.ctx, w.cancel = context.WithCancel(s.run)
 }
 
-// StoreReturned ends all waits for the store that are under way, as it has come back from a copy: a watch of before tells nothing.
+// StoreReturned ends all pending calls of the store after it was restored from a backup: a watch that began before
+// returns no changes.
 func (s *Service) StoreReturned() {
 	if s.run != nil {
-		s.storeReturned()
+		s.cancelStoreCalls()
 	}
 }
 
-// unlessBack returns a context that also ends when the store is back.
-func (s *Service) unlessBack(ctx context.Context) (context.Context, context.CancelFunc) {
+// withStoreCalls returns a context that also ends when pending calls of the store are canceled.
+func (s *Service) withStoreCalls(ctx context.Context) (context.Context, context.CancelFunc) {
 	out, cancel := context.WithCancel(ctx)
-	w := &s.waits
+	w := &s.storeCalls
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	stop := context.AfterFunc(w.back, cancel)
+	stop := context.AfterFunc(w.ctx, cancel)
 	return out, func() {
 		stop()
 		cancel()
 	}
 }
 
-// restUnlessBack waits for so long, until the context ends or until the store is back.
-func (s *Service) restUnlessBack(ctx context.Context, long time.Duration) {
-	ctx, done := s.unlessBack(ctx)
+// sleepUnlessCanceled waits for d, until ctx ends or until pending calls of the store are canceled.
+func (s *Service) sleepUnlessCanceled(ctx context.Context, d time.Duration) {
+	ctx, done := s.withStoreCalls(ctx)
 	defer done()
-	rest(ctx, long)
+	sleep(ctx, d)
 }
 
-func (s *Service) watchWanted(watch bool) {
+func (s *Service) setWatch(watch bool) {
 	select {
 	case s.watch <- watch:
 	case <-s.run.Done():
 	}
 }
 
-// followStore watches the store while this router is one of those that do.
-func (s *Service) followStore() {
+// runWatches starts and stops the watches of the store: they run while this router is one of those that watch.
+func (s *Service) runWatches() {
 	defer s.ended.Done()
 	stop := func() {}
 	for {
@@ -112,10 +113,10 @@
 	}
 }
 
-// watchConfiguration follows what the operators write.
+// watchConfiguration watches the configuration and, if the operators evacuate data halls in the store, these.
 func (s *Service) watchConfiguration(ctx context.Context) {
 	defer s.ended.Done()
-	rest(ctx, watchSettle-time.Since(s.began))
+	sleep(ctx, watchStartDelay-time.Since(s.began))
 	if s.halls.operators == nil {
 		s.watchStore(ctx)
 		return
@@ -131,31 +132,31 @@
 		revision := s.revision
 		s.mu.Unlock()
 		s.metrics.StoreCalls.WithLabelValues("watch").Inc()
-		wait, done := s.unlessBack(ctx)
-		v, err := s.store.Wait(wait, s.format.Key(), revision)
-		s.noteWatch(wait, watchEnded{of: "configuration", began: began, since: uint64(revision), changes: 1, err: err})
+		callCtx, done := s.withStoreCalls(ctx)
+		v, err := s.store.Wait(callCtx, s.format.Key(), revision)
+		s.logWatch(callCtx, watchEnded{of: "configuration", began: began, since: uint64(revision), changes: 1, err: err})
 		if err != nil {
 			s.metrics.StoreFailures.WithLabelValues("watch").Inc()
-			rest(wait, p.afterFailure())
+			sleep(callCtx, p.afterFailure())
 			done()
 			continue
 		}
 		done()
 		s.installValue(v)
-		rest(ctx, p.afterChange(time.Since(began)))
+		sleep(ctx, p.afterChange(time.Since(began)))
 	}
 }
 
-// watchEnded is how a watch of the store has ended.
+// watchEnded is the result of a watch call.
 type watchEnded struct {
 	of      string // what was watched
 	began   time.Time
 	since   uint64 // revision
-	changes int    // that it brought, where err is nil
+	changes int    // number of changes received, if err is nil
 	err     error
 }
 
-// outcome returns how it ended, in a word.
+// outcome returns the result as a log value.
 func (w *watchEnded) outcome(ctx context.Context) string {
 	switch {
 	case ctx.Err() != nil:
@@ -170,9 +171,9 @@
 	return "changed"
 }
 
-// noteWatch logs the end of a watch. One that is silent lasts for seconds, so that the lines
-// are few; without them a watch that brings nothing looks like one that nobody answers.
-func (s *Service) noteWatch(ctx context.Context, w watchEnded) {
+// logWatch logs the end of a watch call. A watch without changes lasts for seconds, so that there are few lines. They
+// show the difference between a watch without changes and one that is not answered.
+func (s *Service) logWatch(ctx context.Context, w watchEnded) {
 	line := s.log.Info()
 	if w.err != nil && ctx.Err() == nil {
 		line = s.log.Warn().Err(w.err)
@@ -181,8 +182,8 @@
 		Dur("age_ms", time.Since(w.began)).Msg("watch of the store ended")
 }
 
-// noteContact logs whether the store has answered, where that has changed.
-func (s *Service) noteContact(began time.Time, err error) {
+// logContact logs whether the store has answered a ping, if that has changed.
+func (s *Service) logContact(began time.Time, err error) {
 	if s.run.Err() != nil || s.reached.Swap(err == nil) == (err == nil) {
 		return
 	}
