--- a/store/etcd.go
+++ b/store/etcd.go
@@ -15,28 +15,27 @@
 const (
 	dialTimeout = time.Second
 	callTimeout = 2 * time.Second
-	// watchTimeout is how long a watch may be silent before it is made anew.
+	// watchTimeout is how long a watch without any response is kept open.
 	watchTimeout = 60 * time.Second
-	// maxAnswer is the size of the largest answer taken, in bytes: a value of
-	// up to a megabyte, in base64, with room.
-	maxAnswer = 2 << 20
+	// maxResponse is the maximum size of a response, in bytes: a value of up to a megabyte in base64, and some
+	// reserve.
+	maxResponse = 2 << 20
 )
 
-// Etcd speaks to the key-value service.
+// Etcd is a client of the key-value service.
 type Etcd struct {
 	client *exchange.Client
 }
 
-// NewEtcd returns the adapter for a service at an IP and port.
+// NewEtcd returns a client of the service at an IP address and port.
 func NewEtcd(address string) *Etcd {
 	return &Etcd{client: exchange.NewClient(address, dialTimeout)}
 }
 
-// Close closes the connections that are kept.
+// Close closes the idle connections.
 func (s *Etcd) Close() { s.client.Close() }
 
-// The messages of the API. Bytes are in base64 and 64-bit numbers are strings,
-// as protobuf's JSON mapping has it.
+// The messages of the API. Bytes are in base64 and 64-bit numbers are strings, as in protobuf's JSON mapping.
 type (
 	rangeRequest struct {
 		Key []byte `json:"key"`
@@ -109,15 +108,15 @@
 func (s *Etcd) Get(ctx context.Context, key string) (Value, error) {
 	var out rangeResponse
 	if err := s.call(ctx, "/v3/kv/range", rangeRequest{Key: []byte(key)}, &out, callTimeout); err != nil {
-		return Value{}, Unavailable.Wrap(err, "the store doesn't answer")
+		return Value{}, Unavailable.Wrap(err, "can't read from the store")
 	}
 	return out.value(), nil
 }
 
-// GetStale implements Store. A read costs the same here, however old it may be.
+// GetStale implements Store. It is Get, as reads of any age have the same cost here.
 func (s *Etcd) GetStale(ctx context.Context, key string) (Value, error) { return s.Get(ctx, key) }
 
-// pingKey is a key that nobody writes.
+// pingKey is a key that is never written.
 const pingKey = "tamarindstep/ping"
 
 // Ping implements Store.
@@ -137,9 +136,9 @@
 	var out txnResponse
 	if err := s.call(ctx, "/v3/kv/txn", request, &out, callTimeout); err != nil {
 		if exchange.NotSent(err) {
-			return Value{}, false, Unavailable.Wrap(err, "the store isn't reached")
+			return Value{}, false, Unavailable.Wrap(err, "can't connect to the store")
 		}
-		return Value{}, false, Ambiguous.Wrap(err, "the store's answer to a swap is lost")
+		return Value{}, false, Ambiguous.Wrap(err, "the store's response to a swap was lost")
 	}
 	if out.Succeeded {
 		return Value{Data: data, Revision: out.Header.Revision}, true, nil
@@ -153,38 +152,38 @@
 // Wait implements Store.
 func (s *Etcd) Wait(ctx context.Context, key string, revision int64) (Value, error) {
 	create := watchRequest{Create: watchCreate{Key: []byte(key), StartRevision: revision + 1}}
-	answer, err := s.post(ctx, "/v3/watch", create, watchTimeout)
+	response, err := s.post(ctx, "/v3/watch", create, watchTimeout)
 	if err != nil {
-		return Value{}, Unavailable.Wrap(err, "the store takes no watch")
+		return Value{}, Unavailable.Wrap(err, "can't open a watch of the store")
 	}
-	defer answer.Close()
-	lines := bufio.NewScanner(answer)
-	lines.Buffer(nil, maxAnswer)
+	defer response.Close()
+	lines := bufio.NewScanner(response)
+	lines.Buffer(nil, maxResponse)
 	for lines.Scan() {
 		var out watchResponse
 		if err := json.Unmarshal(lines.Bytes(), &out); err != nil {
-			return Value{}, Unavailable.Wrap(err, "the store's watch is garbled")
+			return Value{}, Unavailable.Wrap(err, "can't decode a watch event of the store")
 		}
 		if n := len(out.Result.Events); n > 0 {
 			kv := out.Result.Events[n-1].KV
 			return Value{Data: kv.Value, Revision: kv.ModRevision}, nil
 		}
 	}
-	return Value{}, Unavailable.New("the store's watch ended: %v", lines.Err())
+	return Value{}, Unavailable.New("watch of the store ended: %v", lines.Err())
 }
 
-func (s *Etcd) call(ctx context.Context, path string, in, out any, patient time.Duration) error {
-	answer, err := s.post(ctx, path, in, patient)
+func (s *Etcd) call(ctx context.Context, path string, in, out any, timeout time.Duration) error {
+	response, err := s.post(ctx, path, in, timeout)
 	if err != nil {
 		return err
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer, maxAnswer))
+	defer response.Close()
+	body, err := io.ReadAll(io.LimitReader(response, maxResponse))
 	if err != nil {
 		return &exchange.Error{Sent: true, Err: err}
 	}
-	if answer.StatusCode() != fasthttp.StatusOK {
-		return &exchange.Error{Sent: true, Err: Unavailable.New("status %d", answer.StatusCode())}
+	if response.StatusCode() != fasthttp.StatusOK {
+		return &exchange.Error{Sent: true, Err: Unavailable.New("status %d", response.StatusCode())}
 	}
 	if err := json.Unmarshal(body, out); err != nil {
 		return &exchange.Error{Sent: true, Err: err}
@@ -192,7 +191,7 @@
 	return nil
 }
 
-func (s *Etcd) post(ctx context.Context, path string, in any, patient time.Duration) (*exchange.Answer, error) {
+func (s *Etcd) post(ctx context.Context, path string, in any, timeout time.Duration) (*exchange.Answer, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return nil, &exchange.Error{Err: err}
@@ -204,5 +203,5 @@
 	req.Header.SetHost("store")
 	req.Header.SetContentType("application/json")
 	req.SetBody(body)
-	return s.client.Do(ctx, req, exchange.Options{Patient: patient})
+	return s.client.Do(ctx, req, exchange.Options{Patient: timeout})
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,7 +1,6 @@
-// Package store holds the interface to the key-value service that keeps what
-// must outlive the routers, and an adapter for the JSON form of etcd's version 3
-// API (/v3/kv/range, /v3/kv/txn, /v3/watch), of which only single keys,
-// compare-and-swap on the revision of the last change, and watches are used.
+// Package store defines the interface to the platform's key-value service, which stores the state that must survive a
+// restart of the routers. It contains an adapter for the JSON form of etcd's version 3 API (/v3/kv/range, /v3/kv/txn,
+// /v3/watch), which uses only single keys, compare-and-swap on the revision of the last change, and watches.
 package store
 
 import (
@@ -11,28 +10,27 @@
 	"github.com/joomcode/errorx"
 )
 
-// The errors of a store.
+// Errors of a store.
 var (
 	namespace = errorx.NewNamespace("store")
-	// Unavailable is the error for a call that had no effect.
+	// Unavailable is the error of a call that had no effect.
 	Unavailable = namespace.NewType("unavailable")
-	// Ambiguous is the error for a call whose answer was lost: it may have had
-	// its effect, or have it yet.
+	// Ambiguous is the error of a call whose response was lost: it may have taken effect, or still do so.
 	Ambiguous = namespace.NewType("ambiguous")
-	// Forgotten is the error for changes that the store doesn't know any more: what is
-	// there must be read anew.
+	// Forgotten is the error of a request for changes that the store no longer has: the current state must be read
+	// again.
 	Forgotten = namespace.NewType("forgotten")
 )
 
-// PingTimeout is how long the smallest of answers may take, in which a slow store gives it
-// twice over.
+// PingTimeout is the time-out of a ping. A slow store answers in half of it.
 const PingTimeout = 600 * time.Millisecond
 
-// PingPatience is how long an adapter waits for it. Its own wait must end first: only then does
-// it know that the connection is silent, and leave the others that rest, which may be as well.
+// PingPatience is the time-out that an adapter uses for a ping. It must be shorter than PingTimeout: only when its
+// own time-out ends does the adapter detect that the connection is unresponsive, and discard its idle connections,
+// which may be as well.
 const PingPatience = PingTimeout - 100*time.Millisecond
 
-// Value is what the store holds under a key. Revision 0 is no value.
+// Value is the value of a key. A value of revision 0 does not exist.
 type Value struct {
 	Data     []byte
 	Revision int64
@@ -40,16 +38,16 @@
 
 // Store is the platform's key-value service.
 type Store interface {
-	// Get returns the value under a key.
+	// Get returns the value of a key.
 	Get(ctx context.Context, key string) (Value, error)
-	// GetStale is Get of a value that may be seconds old, where the store sells that for
-	// less. Nobody may conclude from it that anything isn't there.
+	// GetStale returns a value of a key that may be seconds old, where the store offers that at a lower cost. A
+	// missing value does not imply that the key does not exist.
 	GetStale(ctx context.Context, key string) (Value, error)
-	// Swap sets the value under a key if its revision is still the one given,
-	// and tells whether it did. If not, it returns what is there instead.
+	// Swap sets the value of a key if its revision is the given one, and reports whether it did. If not, it returns
+	// the current value.
 	Swap(ctx context.Context, key string, revision int64, data []byte) (Value, bool, error)
-	// Ping returns nil where the store answers. It costs as little as a call can.
+	// Ping returns nil if the store answers. It is the call with the lowest cost.
 	Ping(ctx context.Context) error
-	// Wait returns the value under a key once its revision is above the given one.
+	// Wait waits until the revision of a key is above the given one, and returns its value.
 	Wait(ctx context.Context, key string, revision int64) (Value, error)
 }
