--- a/heldstore/heldstore.go
+++ b/heldstore/heldstore.go
@@ -1,12 +1,12 @@
-// Package heldstore keeps the requests that are held back in the platform's store, so that
-// they stay known where all routers end at once. Routers that start while others live hear of them from
-// those, with the first datagrams.
+// Package heldstore stores the held-back requests in the platform's store, so that they survive a shutdown of all
+// routers. Routers that start while others run receive them from those, with the first datagrams.
 //
-// The store holds one small document. A router that has seen what led to a change merges it in
-// by a swap; one that starts reads it once. While the store is out, changes wait.
+// The store holds one small document. A router that observed the cause of a change merges the change into the
+// document by compare-and-swap. A router reads the document once when it starts. While the store is unavailable,
+// changes are queued.
 //
-// Another small document holds which requests are being tried: of routers at which a try is due at the same time, the
-// store lets one make it.
+// A second small document holds the requests that are being tried: if a try is due at several routers at the same
+// time, the store grants it to one of them.
 package heldstore
 
 import (
@@ -27,36 +27,36 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered in the kernel.
 const ServiceName = "heldstore"
 
-// Key is where the store holds the document.
+// Key is the store key of the document.
 const Key = "tamarindstep/held"
 
 const (
-	// maxKept is how many requests the document holds at the most, of some 60 bytes each; the oldest go.
+	// maxKept is the maximum number of requests in the document, of some 60 bytes each; the oldest are evicted.
 	maxKept = 64
-	// settle is how long changes are gathered before they are written: ends come in bursts.
-	settle = 50 * time.Millisecond
-	// again is how long the store is left alone after a failure.
-	again = time.Second
+	// writeDelay is how long changes are collected before they are written: backend servers end in bursts.
+	writeDelay = 50 * time.Millisecond
+	// retryDelay is the delay after a failed call of the store.
+	retryDelay = time.Second
 )
 
-// Decisions are told what the store holds, and tell what changes.
-type Decisions interface {
+// Scheduler receives the content of the store, and sends changes to its observer.
+type Scheduler interface {
 	Tell(core.Event)
 	Observe(scheduler.Observer)
 }
 
-// Service keeps the document.
+// Service maintains the document.
 type Service struct {
 	store     store.Store
 	log       zerolog.Logger
 	metrics   *telemetry.Platform
-	decisions Decisions
+	scheduler Scheduler
 
 	mu      sync.Mutex
-	changes []core.HeldChanged // that are to be written
+	changes []core.HeldChanged // to be written
 	wake    chan struct{}
 
 	run    context.Context
@@ -65,7 +65,7 @@
 	claims sync.WaitGroup
 }
 
-// New returns the service.
+// New returns a Service.
 func New(s store.Store, log zerolog.Logger, metrics *telemetry.Platform) *Service {
 	return &Service{store: s, log: log, metrics: metrics, wake: make(chan struct{}, 1), ended: make(chan struct{})}
 }
@@ -76,21 +76,21 @@
 // Needs implements kernel.Service.
 func (s *Service) Needs() []string { return []string{scheduler.ServiceName} }
 
-// Start implements kernel.Service. It doesn't wait for the store.
+// Start implements kernel.Service. It does not wait for the store.
 func (s *Service) Start(ctx context.Context, k *kernel.Kernel) error {
-	decisions, err := kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName)
+	sched, err := kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName)
 	if err != nil {
 		return err
 	}
-	s.begin(ctx, decisions)
+	s.begin(ctx, sched)
 	return nil
 }
 
-func (s *Service) begin(ctx context.Context, decisions Decisions) {
-	s.decisions = decisions
+func (s *Service) begin(ctx context.Context, sched Scheduler) {
+	s.scheduler = sched
 	s.run, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	decisions.Observe(scheduler.Observer{Held: s.changed, Try: s.try})
-	go s.follow(s.run)
+	sched.Observe(scheduler.Observer{Held: s.enqueue, Try: s.try})
+	go s.loop(s.run)
 }
 
 // Stop implements kernel.Service.
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// changed takes a change that is to be written. It doesn't block.
-func (s *Service) changed(c core.HeldChanged) {
+// enqueue queues a change to be written, if this router observed its cause. It does not block.
+func (s *Service) enqueue(c core.HeldChanged) {
 	if !c.Seen {
 		return
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (s *Service) follow(ctx context.Context) {
+func (s *Service) loop(ctx context.Context) {
 	defer close(s.ended)
 	held := s.read(ctx)
 	for {
@@ -125,40 +125,40 @@
 			return
 		case <-s.wake:
 		}
-		if pause.For(ctx, settle) != nil {
+		if pause.For(ctx, writeDelay) != nil {
 			return
 		}
 		held = s.write(ctx, held)
 	}
 }
 
-// read reads the document, as soon as the store answers, and tells what it holds.
+// read reads the document as soon as the store answers, and sends its content to the scheduler.
 func (s *Service) read(ctx context.Context) store.Value {
 	for {
 		s.metrics.StoreCalls.WithLabelValues("held").Inc()
 		v, err := s.store.GetStale(ctx, Key)
 		if err == nil {
-			if held := s.decoded(v); len(held.Suspicions) > 0 {
+			if held := s.decode(v); len(held.Suspicions) > 0 {
 				s.log.Info().Int("requests", len(held.Suspicions)).Msg("held-back requests read from the store")
-				s.decisions.Tell(core.HeldInStore{Suspicions: held.Suspicions})
+				s.scheduler.Tell(core.HeldInStore{Suspicions: held.Suspicions})
 			}
 			return v
 		}
 		s.metrics.StoreFailures.WithLabelValues("held").Inc()
-		if pause.For(ctx, again) != nil {
+		if pause.For(ctx, retryDelay) != nil {
 			return store.Value{}
 		}
 	}
 }
 
-// write merges the changes into the document, and returns what the store holds then.
+// write merges the queued changes into the document and returns the resulting value.
 func (s *Service) write(ctx context.Context, known store.Value) store.Value {
 	s.mu.Lock()
 	changes := s.changes
 	s.changes = nil
 	s.mu.Unlock()
 	for len(changes) > 0 {
-		data, same := s.merged(known, changes)
+		data, same := s.merge(known, changes)
 		if same {
 			return known
 		}
@@ -167,7 +167,7 @@
 		switch {
 		case err != nil:
 			s.metrics.StoreFailures.WithLabelValues("held").Inc()
-			if pause.For(ctx, again) != nil {
+			if pause.For(ctx, retryDelay) != nil {
 				return known
 			}
 		case swapped:
@@ -179,16 +179,16 @@
 	return known
 }
 
-// merged returns the document with the changes in it, and whether it is the same as before.
-func (s *Service) merged(known store.Value, changes []core.HeldChanged) (data []byte, same bool) {
-	held := s.decoded(known)
+// merge returns the document with the changes, and whether it is unchanged.
+func (s *Service) merge(known store.Value, changes []core.HeldChanged) (data []byte, same bool) {
+	held := s.decode(known)
 	before := proto.Clone(held)
 	for _, c := range changes {
 		held.Suspicions = slices.DeleteFunc(held.Suspicions, func(o *wire.Suspicion) bool {
 			return o.Fingerprint == c.Suspicion.Fingerprint
 		})
 		if c.Held {
-			held.Suspicions = append(held.Suspicions, kept(c.Suspicion))
+			held.Suspicions = append(held.Suspicions, withoutAges(c.Suspicion))
 		}
 	}
 	held.Suspicions = held.Suspicions[max(len(held.Suspicions)-maxKept, 0):]
@@ -197,29 +197,29 @@
 	}
 	data, err := proto.Marshal(held)
 	if err != nil {
-		s.log.Error().Err(err).Msg("held-back requests can't be written")
+		s.log.Error().Err(err).Msg("can't encode held-back requests")
 		return nil, true
 	}
 	return data, false
 }
 
-// kept returns a suspicion without its times, which mean nothing to a router that starts later: to it,
-// the ends count from its own start.
-func kept(in *wire.Suspicion) *wire.Suspicion {
+// withoutAges returns a suspicion without the ages of its events. These have no meaning for a router that starts
+// later, which counts the ends from its own start.
+func withoutAges(in *wire.Suspicion) *wire.Suspicion {
 	return &wire.Suspicion{
 		Fingerprint: in.Fingerprint, Account: in.Account, Backends: in.Backends,
 		EndedMs: make([]uint32, len(in.Backends)), RanUs: in.RanUs, Marks: in.Marks,
 	}
 }
 
-// decoded reads the document; one that can't be read holds nothing, and is replaced by the next change.
-func (s *Service) decoded(v store.Value) *wire.HeldBack {
+// decode decodes the document. One that cannot be decoded is treated as empty, and replaced by the next change.
+func (s *Service) decode(v store.Value) *wire.HeldBack {
 	out := &wire.HeldBack{}
 	if v.Revision == 0 {
 		return out
 	}
 	if err := proto.Unmarshal(v.Data, out); err != nil {
-		s.log.Warn().Err(err).Int64("revision", v.Revision).Msg("the store's held-back requests can't be read")
+		s.log.Warn().Err(err).Int64("revision", v.Revision).Msg("can't decode the store's held-back requests")
 		return &wire.HeldBack{}
 	}
 	return out
--- a/heldstore/heldstore_test.go
+++ b/heldstore/heldstore_test.go
@@ -17,7 +17,7 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// memory is a store of one key, which may be out.
+// memory is a store of one key that can be made unavailable.
 type memory struct {
 	store.Store
 	mu    sync.Mutex
@@ -68,59 +68,59 @@
 	m.out = out
 }
 
-// decisions note what they are told.
-type decisions struct {
+// fakeScheduler records the events that it receives.
+type fakeScheduler struct {
 	mu       sync.Mutex
-	told     []uint64
+	received []uint64
 	answers  []core.TryAnswered
 	observer scheduler.Observer
 }
 
-func (d *decisions) Observe(o scheduler.Observer) { d.observer = o }
+func (d *fakeScheduler) Observe(o scheduler.Observer) { d.observer = o }
 
-func (d *decisions) Tell(e core.Event) {
+func (d *fakeScheduler) Tell(e core.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch e := e.(type) {
 	case core.HeldInStore:
 		for _, s := range e.Suspicions {
-			d.told = append(d.told, s.Fingerprint)
+			d.received = append(d.received, s.Fingerprint)
 		}
 	case core.TryAnswered:
 		d.answers = append(d.answers, e)
 	}
 }
 
-func (d *decisions) heard() []uint64 {
+func (d *fakeScheduler) fingerprints() []uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told
+	return d.received
 }
 
-func (d *decisions) change(held bool, fingerprint uint64) {
+func (d *fakeScheduler) change(held bool, fingerprint uint64) {
 	d.observer.Held(core.HeldChanged{Held: held, Seen: true, Suspicion: &wire.Suspicion{
 		Fingerprint: fingerprint, Backends: []uint32{1, 2}, EndedMs: []uint32{3, 4}, RanUs: []uint32{5, 6}, Marks: []uint32{0, 1},
 	}})
 }
 
-// start starts a service on a store; it is stopped with the test.
-func start(t *testing.T, m *memory) *decisions {
+// start starts a service on a store. It is stopped at the end of the test.
+func start(t *testing.T, m *memory) *fakeScheduler {
 	t.Helper()
 	s := New(m, zerolog.Nop(), telemetry.NewMetrics().Platform)
-	d := &decisions{}
+	d := &fakeScheduler{}
 	s.begin(t.Context(), d)
 	t.Cleanup(func() { _ = s.Stop(context.Background()) })
 	return d
 }
 
-func TestHeldBackRequestsOutliveAllRouters(t *testing.T) {
+func TestHeldBackRequestsSurviveShutdownOfAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := &memory{}
 		first, second := start(t, m), start(t, m)
 		time.Sleep(time.Second)
 		first.change(true, 1)
-		second.change(true, 2) // at the same moment: one of the two swaps fails
+		second.change(true, 2) // concurrently: one of the two swaps fails
 		first.change(true, 3)
 		second.change(true, 3)
 		time.Sleep(time.Second)
@@ -128,15 +128,15 @@
 		time.Sleep(time.Second)
 		third := start(t, m)
 		time.Sleep(time.Second)
-		is.Equal(len(third.heard()), 2)
+		is.Equal(len(third.fingerprints()), 2)
 		calls := m.made()
-		first.change(true, 2) // which is there
+		first.change(true, 2) // already stored
 		time.Sleep(time.Second)
 		is.True(m.made() <= calls+2)
 	})
 }
 
-func TestChangesWaitForTheStore(t *testing.T) {
+func TestChangesAreQueuedWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := &memory{out: true}
@@ -148,26 +148,26 @@
 		time.Sleep(3 * time.Second)
 		later := start(t, m)
 		time.Sleep(time.Second)
-		is.Equal(later.heard(), []uint64{1})
+		is.Equal(later.fingerprints(), []uint64{1})
 	})
 }
 
-func TestUnreadableDocumentHoldsNothingAndIsReplaced(t *testing.T) {
+func TestUndecodableDocumentIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := &memory{value: store.Value{Data: []byte("no document"), Revision: 5}}
 		d := start(t, m)
 		time.Sleep(time.Second)
-		is.Equal(len(d.heard()), 0)
+		is.Equal(len(d.fingerprints()), 0)
 		d.change(true, 1)
 		time.Sleep(time.Second)
 		later := start(t, m)
 		time.Sleep(time.Second)
-		is.Equal(later.heard(), []uint64{1})
+		is.Equal(later.fingerprints(), []uint64{1})
 	})
 }
 
-func TestTheDocumentStaysSmall(t *testing.T) {
+func TestDocumentSizeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := &memory{}
@@ -180,6 +180,6 @@
 		is.True(m.size() < 64*maxKept)
 		later := start(t, m)
 		time.Sleep(time.Second)
-		is.Equal(len(later.heard()), maxKept)
+		is.Equal(len(later.fingerprints()), maxKept)
 	})
 }
--- a/heldstore/tries.go
+++ b/heldstore/tries.go
@@ -11,37 +11,38 @@
 	"github.com/tamarindstep/tamarindstep/store"
 )
 
-// TriesKey is where the store holds which requests are being tried, and since when.
+// TriesKey is the store key of the document that holds the requests that are being tried, and since when.
 const TriesKey = "tamarindstep/tries"
 
 const (
-	// tryFor is how long nobody else tries a request: what came of the try is known to all routers by then, or they don't
-	// wait for it any more.
-	tryFor = 5 * time.Second
-	// claimWithin bounds how long a request waits for the answer, and claimSwaps how often others' claims may come between.
-	claimWithin = 500 * time.Millisecond
-	claimSwaps  = 5
+	// claimTTL is how long a claim excludes other routers from trying the request. After that, all routers have the
+	// result of the try, or no longer wait for it.
+	claimTTL = 5 * time.Second
+	// claimTimeout limits how long a request waits for a claim, and maxClaimSwaps the number of swaps that can fail
+	// because of concurrent claims.
+	claimTimeout  = 500 * time.Millisecond
+	maxClaimSwaps = 5
 )
 
-// try asks for a try. It doesn't block.
+// try claims a try in the background and sends the result to the scheduler.
 func (s *Service) try(a core.AskTry) {
 	s.claims.Go(func() {
-		ctx, cancel := context.WithTimeout(s.run, claimWithin)
+		ctx, cancel := context.WithTimeout(s.run, claimTimeout)
 		defer cancel()
-		s.decisions.Tell(core.TryAnswered{ID: a.ID, Granted: s.claim(ctx, a.Fingerprint)})
+		s.scheduler.Tell(core.TryAnswered{ID: a.ID, Granted: s.claim(ctx, a.Fingerprint)})
 	})
 }
 
-// claim tells whether this router may try a request now. Of routers that claim at the same time one swap goes through, whatever their
-// clocks say; by their clocks they tell a claim of before from one whose try may be under way. Without the store nobody
-// tries: all else goes on.
+// claim reports whether this router may try a request now. Of concurrent claims, one swap succeeds regardless of the
+// clocks of the routers; the clocks only distinguish expired claims from those whose try may be running. While the
+// store is unavailable no claim is granted, which affects nothing but tries.
 func (s *Service) claim(ctx context.Context, f model.Fingerprint) bool {
 	s.metrics.StoreCalls.WithLabelValues("try").Inc()
 	known, err := s.store.Get(ctx, TriesKey)
-	for range claimSwaps {
+	for range maxClaimSwaps {
 		if err != nil {
 			s.metrics.StoreFailures.WithLabelValues("try").Inc()
-			s.log.Warn().Err(err).Stringer("fingerprint", f).Msg("try of a held-back request put off: the store doesn't grant it")
+			s.log.Warn().Err(err).Stringer("fingerprint", f).Msg("try of a held-back request deferred: can't claim it in the store")
 			return false
 		}
 		now := time.Now()
@@ -52,7 +53,7 @@
 		tries[f.String()] = now.UnixMilli()
 		data, marshalErr := json.Marshal(tries)
 		if marshalErr != nil {
-			s.log.Error().Err(marshalErr).Msg("tries can't be written")
+			s.log.Error().Err(marshalErr).Msg("can't encode tries")
 			return false
 		}
 		s.metrics.StoreCalls.WithLabelValues("try").Inc()
@@ -65,16 +66,17 @@
 	return false
 }
 
-// recentTries returns when each request was claimed whose try may be under way, in Unix ms. What can't be read holds none.
+// recentTries returns the times of the claims that have not expired, in Unix ms. A document that cannot be decoded is
+// treated as empty.
 func (s *Service) recentTries(v store.Value, now time.Time) map[string]int64 {
 	out := map[string]int64{}
 	if v.Revision == 0 {
 		return out
 	}
 	if err := json.Unmarshal(v.Data, &out); err != nil || out == nil {
-		s.log.Warn().Err(err).Int64("revision", v.Revision).Msg("the store's tries can't be read")
+		s.log.Warn().Err(err).Int64("revision", v.Revision).Msg("can't decode the store's tries")
 		return map[string]int64{}
 	}
-	maps.DeleteFunc(out, func(_ string, at int64) bool { return now.Sub(time.UnixMilli(at)).Abs() >= tryFor })
+	maps.DeleteFunc(out, func(_ string, at int64) bool { return now.Sub(time.UnixMilli(at)).Abs() >= claimTTL })
 	return out
 }
--- a/heldstore/tries_test.go
+++ b/heldstore/tries_test.go
@@ -16,18 +16,18 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// slow is a store of many keys whose calls take a while, as they are called and as they answer.
-type slow struct {
+// slowStore is a store of many keys whose calls take callTakes before their effect, and reads as long again after it.
+type slowStore struct {
 	store.Store
 	mu     sync.Mutex
 	values map[string]store.Value
 	out    bool
-	lost   bool // answers of swaps are lost
+	lost   bool // responses of swaps are lost
 }
 
 const callTakes = 10 * time.Millisecond
 
-func (s *slow) Get(_ context.Context, key string) (store.Value, error) {
+func (s *slowStore) Get(_ context.Context, key string) (store.Value, error) {
 	time.Sleep(callTakes)
 	s.mu.Lock()
 	v, out := s.values[key], s.out
@@ -39,9 +39,11 @@
 	return v, nil
 }
 
-func (s *slow) GetStale(ctx context.Context, key string) (store.Value, error) { return s.Get(ctx, key) }
+func (s *slowStore) GetStale(ctx context.Context, key string) (store.Value, error) {
+	return s.Get(ctx, key)
+}
 
-func (s *slow) Swap(_ context.Context, key string, revision int64, data []byte) (store.Value, bool, error) {
+func (s *slowStore) Swap(_ context.Context, key string, revision int64, data []byte) (store.Value, bool, error) {
 	time.Sleep(callTakes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,23 +60,23 @@
 	return s.values[key], true, nil
 }
 
-// change changes what the store does.
-func (s *slow) change(to func()) {
+// change modifies the store.
+func (s *slowStore) change(to func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	to()
 }
 
-// ask lets a router ask for a try.
-func (d *decisions) ask(f model.Fingerprint) {
+// ask requests a try.
+func (d *fakeScheduler) ask(f model.Fingerprint) {
 	d.mu.Lock()
 	d.answers = nil
 	d.mu.Unlock()
 	d.observer.Try(core.AskTry{ID: 1, Fingerprint: f})
 }
 
-// mayTry tells whether a router was granted what it asked for; it must have been answered once.
-func (d *decisions) mayTry(t *testing.T) bool {
+// mayTry reports whether the requested try was granted. Exactly one response must have arrived.
+func (d *fakeScheduler) mayTry(t *testing.T) bool {
 	t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,13 +86,13 @@
 	return d.answers[0].Granted
 }
 
-// claimants starts so many routers' services on one store.
-func claimants(t *testing.T, s store.Store, n int) []*decisions {
+// claimants starts n services on one store.
+func claimants(t *testing.T, s store.Store, n int) []*fakeScheduler {
 	t.Helper()
-	var out []*decisions
+	var out []*fakeScheduler
 	for range n {
 		held := New(s, zerolog.Nop(), telemetry.NewMetrics().Platform)
-		d := &decisions{}
+		d := &fakeScheduler{}
 		held.begin(t.Context(), d)
 		t.Cleanup(func() { _ = held.Stop(context.Background()) })
 		out = append(out, d)
@@ -98,13 +100,14 @@
 	return out
 }
 
-// granted lets routers ask for a try of a request at the same moment, and returns how many may; each is answered.
-func granted(t *testing.T, routers []*decisions, f model.Fingerprint) int {
+// granted requests a try of a request from all routers at the same time and returns the number of grants. Each router
+// must get a response.
+func granted(t *testing.T, routers []*fakeScheduler, f model.Fingerprint) int {
 	t.Helper()
 	for _, d := range routers {
 		d.ask(f)
 	}
-	time.Sleep(claimWithin)
+	time.Sleep(claimTimeout)
 	out := 0
 	for _, d := range routers {
 		if d.mayTry(t) {
@@ -114,42 +117,42 @@
 	return out
 }
 
-// TestOneRouterTriesAtATime guards against routers whose tries are due at the same time making all of them.
-func TestOneRouterTriesAtATime(t *testing.T) {
+// TestConcurrentClaimsGrantOneTry guards against several routers making the same try when it is due at the same time.
+func TestConcurrentClaimsGrantOneTry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slow{values: map[string]store.Value{}}
+		s := &slowStore{values: map[string]store.Value{}}
 		routers := claimants(t, s, 20)
 		is.Equal(granted(t, routers, 1), 1)
-		is.Equal(granted(t, routers, 1), 0) // somebody is at it
+		is.Equal(granted(t, routers, 1), 0) // the claim has not expired
 		is.Equal(granted(t, routers[:1], 2), 1)
-		time.Sleep(tryFor)
+		time.Sleep(claimTTL)
 		is.Equal(granted(t, routers, 1), 1)
 
-		// Those of other requests at the same moment take nothing from it.
-		time.Sleep(tryFor)
+		// Concurrent claims of other requests do not interfere.
+		time.Sleep(claimTTL)
 		for i, d := range routers[:4] {
 			d.ask(model.Fingerprint(10 + i))
 		}
-		time.Sleep(claimWithin)
+		time.Sleep(claimTimeout)
 		for _, d := range routers[:4] {
 			is.True(d.mayTry(t))
 		}
 	})
 }
 
-// TestNobodyTriesWithoutTheStore lets the store be out, lose answers, and hold what can't be read.
-func TestNobodyTriesWithoutTheStore(t *testing.T) {
+// TestNoTryWithoutTheStore makes the store unavailable, lose responses, and hold an undecodable document.
+func TestNoTryWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slow{values: map[string]store.Value{}, out: true}
+		s := &slowStore{values: map[string]store.Value{}, out: true}
 		routers := claimants(t, s, 5)
 		is.Equal(granted(t, routers, 1), 0)
 		s.change(func() { s.out, s.lost = false, true })
-		is.Equal(granted(t, routers[:1], 1), 0) // it may have been written
+		is.Equal(granted(t, routers[:1], 1), 0) // the claim may have been written
 		s.change(func() { s.lost = false })
 		is.Equal(granted(t, routers, 1), 0)
-		time.Sleep(tryFor)
+		time.Sleep(claimTTL)
 		s.change(func() { s.values[TriesKey] = store.Value{Data: []byte("no document"), Revision: 90} })
 		is.Equal(granted(t, routers, 1), 1)
 	})
