--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,5 +1,5 @@
-// Package claim claims the keys of requests that may not be repeated in the
-// platform's store; package claims in core holds the decisions.
+// Package claim claims the idempotency keys of requests that must not be repeated in the platform's store. The
+// decisions are in package core/claims.
 package claim
 
 import (
@@ -24,45 +24,44 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered in the kernel.
 const ServiceName = "claim"
 
 const (
-	// shards is the number of shards; all routers must have the same.
+	// shards is the number of shards, which must be the same on all routers.
 	shards = 16
-	// writesPart is what the claims of the whole fleet may take of the store's
-	// writes.
-	writesPart = 0.5
+	// writeShare is the part of the store's write rate that the claims of the fleet may use.
+	writeShare = 0.5
 	burst      = 6.0
-	// forwardTimeout is how long a router waits for the one that commits.
+	// forwardTimeout is the time-out of a claim that is forwarded to the committing router.
 	forwardTimeout = 2 * time.Second
 )
 
-// The types and results of the decisions, for those who use this service.
+// Types of package core/claims, for callers of this service.
 type (
 	// Key is the hash of a client account and its idempotency key.
 	Key = claims.Key
-	// Holder is unique to one attempt to send a request.
+	// Holder identifies one attempt to send a request.
 	Holder = claims.Holder
-	// Result is the outcome of a claim.
+	// Result is the result of a claim.
 	Result = claims.Result
 )
 
-// The outcomes of a claim.
+// Results of a claim.
 const (
 	Unavailable = claims.Unavailable
 	Held        = claims.Held
 	Taken       = claims.Taken
 )
 
-// NewHolder returns a holder that no other attempt has.
+// NewHolder returns a unique holder.
 func NewHolder() Holder {
 	var h Holder
 	_, _ = rand.Read(h[:])
 	return h
 }
 
-// KeyOf returns the key under which a request is claimed.
+// KeyOf returns the key for an idempotency key of a client account.
 func KeyOf(account model.AccountID, key string) Key {
 	var out Key
 	name := strconv.FormatUint(uint64(account), 16) + "\x00" + key
@@ -76,7 +75,7 @@
 // Service claims keys.
 type Service struct {
 	store   store.Store
-	writes  float64 // a second, of all shards together
+	writes  float64 // per second, over all shards
 	metrics *telemetry.Platform
 	began   time.Duration
 
@@ -90,10 +89,9 @@
 	ended  sync.WaitGroup
 }
 
-// New returns the service; storeWrites is how many writes a second the store takes
-// from the whole fleet.
+// New returns a Service. storeWrites is the rate of writes that the store accepts from the whole fleet, per second.
 func New(store store.Store, storeWrites float64, metrics *telemetry.Platform) *Service {
-	return &Service{store: store, writes: storeWrites * writesPart, metrics: metrics, began: clock.System.Now()}
+	return &Service{store: store, writes: storeWrites * writeShare, metrics: metrics, began: clock.System.Now()}
 }
 
 // Name implements kernel.Service.
@@ -127,8 +125,8 @@
 	return nil
 }
 
-// Claim claims a key for a holder: through the router that commits its shard,
-// or itself where that one can't be reached.
+// Claim claims a key for a holder. The claim is forwarded to the router that commits the shard of the key, or
+// committed here if that router is unreachable.
 func (s *Service) Claim(ctx context.Context, key Key, holder Holder) claims.Result {
 	result, ok := s.forward(ctx, key, holder)
 	if !ok {
@@ -138,14 +136,14 @@
 	return result
 }
 
-// Release gives a key back after nothing was sent for it. It doesn't wait.
+// Release releases a key of a request that was not sent. It does not wait for the result.
 func (s *Service) Release(key Key, holder Holder) {
-	s.shards[shardOf(key)].ask(claims.Op{Key: key, Holder: holder, Release: true}, nil)
+	s.shards[shardOf(key)].submit(claims.Op{Key: key, Holder: holder, Release: true}, nil)
 }
 
-// forward asks the router that commits the key's shard. ok is false where that
-// is this router, or where its answer didn't come: the claim is then made here,
-// for the same holder, which settles it either way.
+// forward forwards a claim to the router that commits the shard of the key. ok is false if that is this router, or if
+// no response arrived. The claim is then committed here for the same holder, which is correct whether or not the
+// forwarded one took effect.
 func (s *Service) forward(ctx context.Context, key Key, holder Holder) (claims.Result, bool) {
 	address := s.committer(shardOf(key))
 	if address == "" {
@@ -165,20 +163,19 @@
 	return result, err == nil
 }
 
-// committer returns the address of the router that commits a shard, "" where
-// that is this one.
+// committer returns the address of the router that commits a shard, "" if that is this router.
 func (s *Service) committer(shard int) string {
 	var address string
 	s.scheduler.Look(func(c *core.Core) { address = c.Responsible("claims/" + strconv.Itoa(shard)) })
 	return address
 }
 
-// Commit claims a key in the store from this router.
+// Commit commits a claim to the store from this router.
 func (s *Service) Commit(ctx context.Context, key Key, holder Holder) claims.Result {
-	answer := make(chan claims.Result, 1)
-	s.shards[shardOf(key)].ask(claims.Op{Key: key, Holder: holder}, answer)
+	result := make(chan claims.Result, 1)
+	s.shards[shardOf(key)].submit(claims.Op{Key: key, Holder: holder}, result)
 	select {
-	case r := <-answer:
+	case r := <-result:
 		return r
 	case <-ctx.Done():
 		return claims.Unavailable
@@ -187,10 +184,10 @@
 	}
 }
 
-// Answer answers another router's claim.
+// Answer handles a claim that another router forwarded.
 func (s *Service) Answer(ctx context.Context, in *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	if len(in.Key) != len(Key{}) || len(in.Holder) != len(Holder{}) {
-		return nil, peer.Malformed.New("a claim with a key of %d bytes and a holder of %d", len(in.Key), len(in.Holder))
+		return nil, peer.Malformed.New("claim with a key of %d bytes and a holder of %d bytes", len(in.Key), len(in.Holder))
 	}
 	result := s.Commit(ctx, Key(in.Key), Holder(in.Holder))
 	return &wire.ClaimResponse{Result: toWire(result)}, nil
--- a/claim/runner.go
+++ b/claim/runner.go
@@ -10,40 +10,39 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// asked is an operation with where its answer goes.
-type asked struct {
+// request is an operation and the channel for its result.
+type request struct {
 	op     claims.Op
-	answer chan claims.Result
+	result chan claims.Result
 }
 
-// runner drives the machine of one shard.
+// runner runs the state machine of one shard.
 type runner struct {
-	service *Service
-	index   int
-	shard   *claims.Shard
-	asks    chan asked
-	replies chan claims.Reply
-	nextID  uint64
-	waiting map[uint64]chan claims.Result
+	service  *Service
+	index    int
+	shard    *claims.Shard
+	requests chan request
+	replies  chan claims.Reply
+	nextID   uint64
+	waiting  map[uint64]chan claims.Result
 }
 
-// askQueue is how many operations may wait for the machine.
-const askQueue = 1024
+// queueSize is the maximum number of operations that wait for the state machine.
+const queueSize = 1024
 
 func newRunner(s *Service, index int) *runner {
 	pace := claims.Pace{PerSecond: s.writes / shards, Burst: burst}
 	return &runner{
 		service: s, index: index, shard: claims.NewShard(pace),
-		asks: make(chan asked, askQueue), replies: make(chan claims.Reply, 1),
+		requests: make(chan request, queueSize), replies: make(chan claims.Reply, 1),
 		waiting: map[uint64]chan claims.Result{},
 	}
 }
 
-// ask gives the machine an operation. The answer channel, if any, must have
-// room for one result.
-func (r *runner) ask(op claims.Op, answer chan claims.Result) {
+// submit queues an operation. The result channel, if any, must have capacity for one result.
+func (r *runner) submit(op claims.Op, result chan claims.Result) {
 	select {
-	case r.asks <- asked{op: op, answer: answer}:
+	case r.requests <- request{op: op, result: result}:
 	case <-r.service.run.Done():
 	}
 }
@@ -58,17 +57,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case a := <-r.asks:
-			r.take(a)
+		case a := <-r.requests:
+			r.accept(a)
 		case reply := <-r.replies:
-			r.tell(r.shard.Done(r.now(), reply))
+			r.deliver(r.shard.Done(r.now(), reply))
 		case <-timer.C:
 		}
 		call, answers := r.shard.Next(r.now())
-		r.tell(answers)
+		r.deliver(answers)
 		if call != nil {
 			r.service.ended.Add(1)
-			go r.carryOut(ctx, *call)
+			go r.execute(ctx, *call)
 		}
 		if wake, ok := r.shard.Wake(r.now()); ok {
 			timer.Reset(max(wake-r.now(), 0))
@@ -76,16 +75,16 @@
 	}
 }
 
-func (r *runner) take(a asked) {
-	if a.answer != nil {
+func (r *runner) accept(a request) {
+	if a.result != nil {
 		r.nextID++
 		a.op.ID = r.nextID
-		r.waiting[a.op.ID] = a.answer
+		r.waiting[a.op.ID] = a.result
 	}
-	r.tell(r.shard.Ask(a.op))
+	r.deliver(r.shard.Ask(a.op))
 }
 
-func (r *runner) tell(answers []claims.Answer) {
+func (r *runner) deliver(answers []claims.Answer) {
 	for _, a := range answers {
 		if c := r.waiting[a.ID]; c != nil {
 			c <- a.Result
@@ -94,8 +93,8 @@
 	}
 }
 
-// carryOut makes one call of the store.
-func (r *runner) carryOut(ctx context.Context, c claims.Call) {
+// execute makes a call of the store and returns its reply to the state machine.
+func (r *runner) execute(ctx context.Context, c claims.Call) {
 	defer r.service.ended.Done()
 	reply, kind := r.callStore(ctx, c)
 	r.service.metrics.StoreCalls.WithLabelValues(kind).Inc()
