--- a/peer/call_test.go
+++ b/peer/call_test.go
@@ -14,13 +14,13 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// answering answers status calls with the trace that they carry.
-type answering struct {
+// traceHandler responds to status calls with the trace ID that they carry.
+type traceHandler struct {
 	wire.DRPCPeerUnimplementedServer
 }
 
 // Status implements wire.DRPCPeerServer.
-func (*answering) Status(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
+func (*traceHandler) Status(ctx context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	carried := trace.SpanContextFromContext(telemetry.FromPeer(ctx))
 	return &wire.StatusResponse{Name: carried.TraceID().String()}, nil
 }
@@ -30,7 +30,7 @@
 	return startAt(t, is, Settings{Name: name, Boot: 1, Listen: freeAddress(is), Key: []byte(key)})
 }
 
-// freeAddress returns a loopback address whose port is free.
+// freeAddress returns a loopback address with a free port.
 func freeAddress(is *is.I) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -49,7 +49,7 @@
 func TestCallsCarryTheTrace(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeer(t, is, "a", "one key for both"), startPeer(t, is, "b", "one key for both")
-	b.HandleCalls(&answering{})
+	b.HandleCalls(&traceHandler{})
 	id := trace.TraceID{1, 2, 3}
 	ctx := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(trace.SpanContextConfig{
 		TraceID: id, SpanID: trace.SpanID{4}, TraceFlags: trace.FlagsSampled,
@@ -66,15 +66,15 @@
 func TestCallsNeedTheKey(t *testing.T) {
 	is := is.New(t)
 	a, b := startPeer(t, is, "a", "one key"), startPeer(t, is, "b", "another key")
-	b.HandleCalls(&answering{})
+	b.HandleCalls(&traceHandler{})
 	err := a.Call(context.Background(), b.settings.Listen, func(context.Context, wire.DRPCPeerClient) error {
-		is.Fail() // no call is made
+		is.Fail() // must not be called
 		return nil
 	})
 	is.True(errorx.IsOfType(err, Unreached))
 }
 
-// TestCallsEndWithTheirContext guards against a call that waits for a router that has stopped for longer than its caller does.
+// TestCallsEndWithTheirContext guards against a call to a stopped router that outlasts its context.
 func TestCallsEndWithTheirContext(t *testing.T) {
 	is := is.New(t)
 	a := startPeer(t, is, "a", "one key for both")
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -15,46 +15,47 @@
 	handshakeTimeout = 2 * time.Second
 )
 
-// The roles keep one side's proof from being played back as the other's.
+// The roles prevent the replay of one side's proof as the other's.
 const (
 	roleDialer   = "dialer"
 	roleAcceptor = "acceptor"
 )
 
-func proof(key []byte, role string, mine, theirs []byte) []byte {
+func proof(key []byte, role string, ownNonce, otherNonce []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(role))
-	mac.Write(mine)
-	mac.Write(theirs)
+	mac.Write(ownNonce)
+	mac.Write(otherNonce)
 	return mac.Sum(nil)
 }
 
-// shakeHands proves to each side of a new connection that the other has the
-// peer key: both send a random number, then a proof made over both numbers.
-func shakeHands(c net.Conn, key []byte, mineRole, theirRole string) error {
+// handshake verifies on both sides of a new connection that the other has the peer key:
+// each sends a nonce, then a proof, which is an HMAC of both nonces with the peer key.
+// The error is of type Forged if the proof received is wrong.
+func handshake(c net.Conn, key []byte, ownRole, otherRole string) error {
 	if err := c.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
 	}
-	mine := make([]byte, nonceSize)
-	if _, err := rand.Read(mine); err != nil {
+	ownNonce := make([]byte, nonceSize)
+	if _, err := rand.Read(ownNonce); err != nil {
 		return err
 	}
-	if _, err := c.Write(mine); err != nil {
+	if _, err := c.Write(ownNonce); err != nil {
 		return err
 	}
-	theirs := make([]byte, nonceSize)
-	if _, err := io.ReadFull(c, theirs); err != nil {
+	otherNonce := make([]byte, nonceSize)
+	if _, err := io.ReadFull(c, otherNonce); err != nil {
 		return err
 	}
-	if _, err := c.Write(proof(key, mineRole, mine, theirs)); err != nil {
+	if _, err := c.Write(proof(key, ownRole, ownNonce, otherNonce)); err != nil {
 		return err
 	}
 	got := make([]byte, proofSize)
 	if _, err := io.ReadFull(c, got); err != nil {
 		return err
 	}
-	if !hmac.Equal(got, proof(key, theirRole, theirs, mine)) {
-		return Forged.New("the other side of %s lacks the peer key", c.RemoteAddr())
+	if !hmac.Equal(got, proof(key, otherRole, otherNonce, ownNonce)) {
+		return Forged.New("invalid handshake proof from %s", c.RemoteAddr())
 	}
 	return c.SetReadDeadline(time.Time{})
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries what routers tell each other: datagrams over UDP, and
-// calls over TCP on the same port. Both are proved with the peer key.
+// Package peer implements the communication between routers: datagrams over UDP, and
+// calls over TCP on the same port. Both are authenticated with the peer key.
 package peer
 
 import (
@@ -20,52 +20,52 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered.
 const ServiceName = "peer"
 
-// Settings are what the service is made with.
+// Settings holds the settings of the service.
 type Settings struct {
 	Name   string
-	Boot   uint64
+	Boot   uint64 // identifies the process; other routers distinguish restarts by it
 	Listen string // IP and port, for both UDP and TCP
 	Key    []byte
-	// EventLoop receives datagrams by gnet's event loop, which takes a thread of
-	// its own, and not by the Go runtime's poller.
+	// EventLoop selects gnet's event loop, which uses its own thread, to receive
+	// datagrams instead of the Go runtime's poller.
 	EventLoop bool
 }
 
-// Service is the routers' link to one another.
+// Service sends and receives datagrams, and makes and serves calls.
 type Service struct {
 	settings Settings
 	metrics  *telemetry.Peer
 
-	mu      sync.Mutex
-	session *session
-	receive func(*wire.Datagram)
-	forged  func()            // nil for none
-	known   map[string]string // address by name, as last sent to
+	mu         sync.Mutex
+	session    *session
+	onDatagram func(*wire.Datagram)
+	onForged   func()            // nil for none
+	addresses  map[string]string // by router name, the address last sent to
 
-	in      receiver
-	booted  chan error
-	out     *net.UDPConn
-	calls   net.Listener
-	handler wire.DRPCPeerServer
-	cancel  context.CancelFunc
-	ended   sync.WaitGroup
+	receiver     receiver
+	listening    chan error
+	sendConn     *net.UDPConn
+	callListener net.Listener
+	handler      wire.DRPCPeerServer
+	cancel       context.CancelFunc
+	ended        sync.WaitGroup
 }
 
 // New returns the service.
 func New(settings Settings, metrics *telemetry.Peer) *Service {
 	s := &Service{
-		settings: settings,
-		metrics:  metrics,
-		session:  newSession(settings.Name, settings.Boot, settings.Key),
-		known:    map[string]string{},
-		booted:   make(chan error, 2),
-		in:       &runtimePoller{},
+		settings:  settings,
+		metrics:   metrics,
+		session:   newSession(settings.Name, settings.Boot, settings.Key),
+		addresses: map[string]string{},
+		listening: make(chan error, 2),
+		receiver:  &runtimePoller{},
 	}
 	if settings.EventLoop {
-		s.in = &eventLoop{}
+		s.receiver = &eventLoop{}
 	}
 	return s
 }
@@ -76,21 +76,22 @@
 // Needs implements kernel.Service.
 func (s *Service) Needs() []string { return nil }
 
-// OnDatagram sets what takes the datagrams; before it is set they are dropped.
-func (s *Service) OnDatagram(receive func(*wire.Datagram)) {
+// OnDatagram sets the handler of accepted datagrams. Without a handler they are dropped.
+func (s *Service) OnDatagram(onDatagram func(*wire.Datagram)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.receive = receive
+	s.onDatagram = onDatagram
 }
 
-// OnForged sets what is told of each datagram that isn't made with the peer key. It must not block.
-func (s *Service) OnForged(forged func()) {
+// OnForged sets a function that is called for each datagram that is not authenticated with the peer key. It must not
+// block.
+func (s *Service) OnForged(onForged func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forged = forged
+	s.onForged = onForged
 }
 
-// Rekey makes another key the peer key.
+// Rekey replaces the peer key.
 func (s *Service) Rekey(key []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +104,8 @@
 	return s.session.key
 }
 
-// HandleCalls sets what answers the other routers' calls. It must be set
-// before any call can come, and callers wait until it is.
+// HandleCalls sets the handler of other routers' calls. It must be set before the
+// first call arrives: connections are closed without a handler.
 func (s *Service) HandleCalls(handler wire.DRPCPeerServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,11 +115,11 @@
 // Start implements kernel.Service.
 func (s *Service) Start(ctx context.Context, _ *kernel.Kernel) error {
 	var err error
-	s.calls, err = net.Listen("tcp", s.settings.Listen)
+	s.callListener, err = net.Listen("tcp", s.settings.Listen)
 	if err != nil {
 		return err
 	}
-	s.out, err = net.ListenUDP("udp", &net.UDPAddr{})
+	s.sendConn, err = net.ListenUDP("udp", &net.UDPAddr{})
 	if err != nil {
 		return err
 	}
@@ -127,57 +128,58 @@
 	s.ended.Add(2)
 	go s.listenDatagrams()
 	go s.acceptCalls(run)
-	return <-s.booted
+	return <-s.listening
 }
 
 func (s *Service) listenDatagrams() {
 	defer s.ended.Done()
-	s.in.run(s.settings.Listen, func(err error) { s.booted <- err }, s.take)
+	s.receiver.run(s.settings.Listen, func(err error) { s.listening <- err }, s.handleDatagram)
 }
 
 // Stop implements kernel.Service.
 func (s *Service) Stop(ctx context.Context) error {
 	s.cancel()
-	err := s.in.stop(ctx)
-	_ = s.calls.Close()
-	_ = s.out.Close()
+	err := s.receiver.stop(ctx)
+	_ = s.callListener.Close()
+	_ = s.sendConn.Close()
 	s.ended.Wait()
 	return err
 }
 
-func (s *Service) take(b []byte, from net.Addr) {
+func (s *Service) handleDatagram(b []byte, from net.Addr) {
 	s.metrics.ReceivedBytes.Add(float64(len(b)))
 	s.mu.Lock()
-	in, err := s.session.open(b)
-	receive, forged := s.receive, s.forged
-	address := s.known[in.from]
+	opened, err := s.session.open(b)
+	onDatagram, onForged := s.onDatagram, s.onForged
+	address := s.addresses[opened.sender]
 	s.mu.Unlock()
 	if err != nil {
 		s.metrics.Refused.Inc()
 	}
-	if forged != nil && errorx.IsOfType(err, Forged) {
-		forged()
+	if onForged != nil && errorx.IsOfType(err, Forged) {
+		onForged()
 	}
 	if address == "" {
-		address = in.address
+		address = opened.listenAddress
 	}
-	if in.greet {
-		s.greet(in.from, address, from)
+	if opened.greet {
+		s.greet(opened.sender, address, from)
 	}
-	if in.greet && in.address != "" && in.address != address {
-		s.greet(in.from, in.address, from) // it has started again at another address
+	if opened.greet && opened.listenAddress != "" && opened.listenAddress != address {
+		s.greet(opened.sender, opened.listenAddress, from) // it has restarted at another address
 	}
-	if in.again != nil && address != "" {
-		s.Send(address, in.again)
+	if opened.resend != nil && address != "" {
+		s.Send(address, opened.resend)
 	}
-	if in.taken != nil && receive != nil {
-		receive(in.taken)
+	if opened.accepted != nil && onDatagram != nil {
+		onDatagram(opened.accepted)
 	}
 }
 
-// greet greets a router at its known address, or where it says that it listens,
-// so that a router which isn't told of the others can still be found by them; or
-// else where its datagram came from.
+// greet sends a greeting to a router at address, which is the last one sent to or the one
+// in the router's datagram, so that a router without addresses of the others can still
+// establish sessions with those that send to it. If address is empty, the greeting is sent
+// to the source address of the datagram.
 func (s *Service) greet(name, address string, from net.Addr) {
 	s.mu.Lock()
 	b, err := s.session.greet(name)
@@ -191,11 +193,11 @@
 	s.write(address, b)
 }
 
-// Send sends a datagram to the router it names, at an IP and port, and returns how many bytes
-// it takes.
+// Send sends a datagram to the router in d.To at address, an IP and port, and returns its size in bytes, 0 if it
+// couldn't be encoded. Errors are only counted.
 func (s *Service) Send(address string, d *wire.Datagram) (bytes int) {
 	s.mu.Lock()
-	s.known[d.To] = address
+	s.addresses[d.To] = address
 	b, err := s.session.seal(d)
 	s.mu.Unlock()
 	if err != nil {
@@ -212,7 +214,7 @@
 		s.metrics.SendFailures.Inc()
 		return
 	}
-	if _, err := s.out.WriteToUDP(b, to); err != nil {
+	if _, err := s.sendConn.WriteToUDP(b, to); err != nil {
 		s.metrics.SendFailures.Inc()
 		return
 	}
@@ -223,11 +225,11 @@
 // acceptCalls serves the other routers' calls.
 func (s *Service) acceptCalls(ctx context.Context) {
 	defer s.ended.Done()
-	calls := socket.Patient{Listener: s.calls}
+	listener := socket.Patient{Listener: s.callListener}
 	for {
-		c, err := calls.Accept()
+		c, err := listener.Accept()
 		if err != nil {
-			return // it is closed
+			return // the listener is closed
 		}
 		s.ended.Add(1)
 		go s.serveCalls(ctx, c)
@@ -240,7 +242,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	defer func() { _ = c.Close() }()
-	if err := shakeHands(c, s.key(), roleAcceptor, roleDialer); err != nil {
+	if err := handshake(c, s.key(), roleAcceptor, roleDialer); err != nil {
 		s.metrics.Refused.Inc()
 		return
 	}
@@ -258,32 +260,32 @@
 }
 
 const (
-	// dialTimeout bounds the making of a connection to another router.
+	// dialTimeout is the time limit for connecting to another router.
 	dialTimeout = time.Second
-	// writeStall is how long another router may take nothing of a message.
+	// writeStall is how long writing a message may make no progress.
 	writeStall = 2 * time.Second
 )
 
-// Call makes a connection to the router at an IP and port, and hands its client
-// to do.
+// Call connects to the router at address, an IP and port, and calls do with a client of
+// the connection. The error is that of do, or of type Unreached if there is no connection.
 func (s *Service) Call(ctx context.Context, address string, do func(context.Context, wire.DRPCPeerClient) error) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return Unreached.Wrap(err, "no connection to %s", address)
+		return Unreached.Wrap(err, "connecting to %s", address)
 	}
 	c := stall.New(raw, writeStall)
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	err = shakeHands(c, s.key(), roleDialer, roleAcceptor)
-	stop() // drpc minds the context from here on
+	err = handshake(c, s.key(), roleDialer, roleAcceptor)
+	stop() // from here on drpc handles the end of the context
 	if err != nil {
 		_ = c.Close()
-		return Unreached.Wrap(err, "no handshake with %s", address)
+		return Unreached.Wrap(err, "handshake with %s", address)
 	}
 	conn := drpcconn.New(c)
 	defer func() { _ = conn.Close() }()
 	return do(telemetry.ToPeer(ctx), wire.NewDRPCPeerClient(conn))
 }
 
-// Unreached is the error for a call that another router never got.
+// Unreached is the error for a call that was not sent, as there was no authenticated connection.
 var Unreached = namespace.NewType("unreached")
--- a/peer/receiver.go
+++ b/peer/receiver.go
@@ -12,26 +12,26 @@
 
 // receiver receives datagrams.
 type receiver interface {
-	// run listens at an IP and port and hands on each datagram, whose bytes hold
-	// until take returns, until it is stopped. It calls listening once, with the
-	// error where it can't listen.
-	run(listen string, listening func(error), take func(b []byte, from net.Addr))
+	// run listens at an IP and port and calls handle for each datagram until it is
+	// stopped. The bytes are valid until handle returns. It calls listening once, with
+	// the error if listening fails, otherwise with nil.
+	run(listen string, listening func(error), handle func(b []byte, from net.Addr))
 	// stop ends run.
 	stop(ctx context.Context) error
 }
 
-// eventLoop receives by gnet. Its loop waits in a system call of its own, on a
-// thread that the Go runtime must hand work away from and back to at each datagram:
-// it fits machines with several processors.
+// eventLoop receives datagrams with gnet. Its loop blocks in its own system call, on a
+// thread from which the Go runtime must move other work away and back at each datagram.
+// It suits machines with several processors.
 type eventLoop struct {
 	gnet.BuiltinEventEngine
 	engine    gnet.Engine
 	listening func(error)
-	take      func(b []byte, from net.Addr)
+	handle    func(b []byte, from net.Addr)
 }
 
-func (e *eventLoop) run(listen string, listening func(error), take func(b []byte, from net.Addr)) {
-	e.listening, e.take = listening, take
+func (e *eventLoop) run(listen string, listening func(error), handle func(b []byte, from net.Addr)) {
+	e.listening, e.handle = listening, handle
 	err := gnet.Run(e, "udp://"+listen, gnet.WithMulticore(false), gnet.WithLogLevel(logging.FatalLevel))
 	if err != nil {
 		listening(err)
@@ -47,22 +47,22 @@
 	return gnet.None
 }
 
-// OnTraffic implements gnet.EventHandler: it takes one datagram.
+// OnTraffic implements gnet.EventHandler. It handles one datagram.
 func (e *eventLoop) OnTraffic(c gnet.Conn) gnet.Action {
 	if b, err := c.Next(-1); err == nil {
-		e.take(b, c.RemoteAddr())
+		e.handle(b, c.RemoteAddr())
 	}
 	return gnet.None
 }
 
-// receiveBuffer is the size of the buffer that a datagram is received in, in bytes.
+// receiveBuffer is the size of the buffer for one datagram, in bytes.
 const receiveBuffer = 64 << 10
 
-// runtimePoller receives by the Go runtime's own poller, together with all other
-// connections: it fits machines with one processor.
+// runtimePoller receives datagrams with the Go runtime's poller, which also serves all
+// other connections. It suits machines with one processor.
 type runtimePoller struct{ conn *net.UDPConn }
 
-func (p *runtimePoller) run(listen string, listening func(error), take func(b []byte, from net.Addr)) {
+func (p *runtimePoller) run(listen string, listening func(error), handle func(b []byte, from net.Addr)) {
 	address, err := netip.ParseAddrPort(listen)
 	if err == nil {
 		p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
@@ -78,7 +78,7 @@
 			return
 		}
 		if err == nil {
-			take(b[:n], net.UDPAddrFromAddrPort(from))
+			handle(b[:n], net.UDPAddrFromAddrPort(from))
 		}
 	}
 }
--- a/peer/session.go
+++ b/peer/session.go
@@ -16,30 +16,30 @@
 	tagSize = 16
 	// maxDatagram is the size of the largest datagram, in bytes.
 	maxDatagram = 60000
-	// windowSize is how far behind the newest a datagram may come.
+	// windowSize is the size of the replay window: how far a datagram's sequence number may be behind the newest.
 	windowSize = 64
 )
 
-// The errors of a datagram.
+// The errors of a received datagram.
 var (
 	namespace = errorx.NewNamespace("peer")
-	// Forged is the error for a datagram that wasn't made with the peer key.
+	// Forged is the error for a datagram that was not authenticated with the peer key.
 	Forged = namespace.NewType("forged")
-	// Replayed is the error for a datagram that was taken already, or was made
-	// for another process than this one.
+	// Replayed is the error for a datagram that has been accepted already, or whose
+	// sequence number is behind the replay window.
 	Replayed = namespace.NewType("replayed")
-	// Malformed is the error for bytes that are no datagram.
+	// Malformed is the error for bytes that are not a valid datagram.
 	Malformed = namespace.NewType("malformed")
 )
 
-// session seals and opens datagrams. A datagram is taken only if it was made
-// with the peer key, for this very process, and hasn't been taken before. The
-// first one of a process must also answer a challenge, a random number that this
-// process has made for it: so a recording is of no use, in whatever process's
-// name.
+// session authenticates datagrams that are sent and received. A datagram is accepted only
+// if it was authenticated with the peer key, is addressed to this process (by its boot
+// number), and has not been accepted before. The first datagram of a process must also
+// contain the answer to a challenge, a random number that this process has created for it.
+// This prevents replays of recorded datagrams, also in the name of another process.
 //
-// Whoever sends what isn't taken is answered with a greeting, which names this
-// process and holds the challenge.
+// The sender of a datagram that is authentic but not accepted is sent a greeting, which
+// contains this process's boot number and the challenge.
 type session struct {
 	self  string
 	boot  uint64
@@ -47,22 +47,22 @@
 	peers map[string]*remote
 }
 
-// remote is what is known of another router's process.
+// remote is the session state for another router.
 type remote struct {
-	boot      uint64 // whose datagrams are taken, 0 for none
-	sendBoot  uint64 // that datagrams are made for, as it last named itself
-	sent      uint64 // sequence of the last datagram sealed for it
-	challenge uint64 // that its process must answer to be taken, 0 for none made
-	answer    uint64 // to its challenge
-	answers   int    // how many more datagrams carry the answer
-	newest    uint64
-	window    uint64         // bit i stands for newest-i
-	pending   *wire.Datagram // the last one sealed before its process was known
+	boot         uint64         // boot number of the process whose datagrams are accepted, 0 for none
+	sendBoot     uint64         // boot number that datagrams are addressed to: the last one received
+	lastSequence uint64         // sequence number of the last datagram sealed for it
+	challenge    uint64         // challenge that its process must answer, 0 if none has been created
+	answer       uint64         // answer to its challenge
+	answersLeft  int            // number of following datagrams that contain the answer
+	newest       uint64         // highest sequence number accepted
+	window       uint64         // bit i is set if sequence number newest-i has been accepted
+	pending      *wire.Datagram // last datagram sealed before sendBoot was known
 }
 
-// answersSent is how many datagrams carry the answer to a challenge, as some
+// answerCopies is the number of datagrams that contain the answer to a challenge, as some
 // may be lost.
-const answersSent = 8
+const answerCopies = 8
 
 func newSession(self string, boot uint64, key []byte) *session {
 	return &session{self: self, boot: boot, key: key, peers: map[string]*remote{}}
@@ -83,31 +83,31 @@
 	return mac.Sum(nil)[:tagSize]
 }
 
-// seal returns the bytes of a datagram.
+// seal encodes and authenticates a datagram.
 func (s *session) seal(d *wire.Datagram) ([]byte, error) {
 	r := s.remote(d.To)
-	r.sent++
-	d.Sequence = r.sent
+	r.lastSequence++
+	d.Sequence = r.lastSequence
 	r.pending = nil
 	if r.sendBoot == 0 {
 		r.pending = d
 	}
-	return s.finish(d, r)
+	return s.encode(d, r)
 }
 
-// greet returns the bytes of a greeting to a router that isn't taken yet.
+// greet returns an encoded greeting to a router whose process is not accepted yet.
 func (s *session) greet(to string) ([]byte, error) {
 	r := s.remote(to)
 	for r.challenge == 0 {
 		r.challenge = rand.Uint64()
 	}
-	return s.finish(&wire.Datagram{To: to, Challenge: r.challenge}, r)
+	return s.encode(&wire.Datagram{To: to, Challenge: r.challenge}, r)
 }
 
-func (s *session) finish(d *wire.Datagram, r *remote) ([]byte, error) {
+func (s *session) encode(d *wire.Datagram, r *remote) ([]byte, error) {
 	d.From, d.Boot, d.ToBoot, d.Answer = s.self, s.boot, r.sendBoot, 0
-	if r.answers > 0 {
-		r.answers--
+	if r.answersLeft > 0 {
+		r.answersLeft--
 		d.Answer = r.answer
 	}
 	payload, err := proto.Marshal(d)
@@ -120,9 +120,9 @@
 	return append(payload, s.tag(payload)...), nil
 }
 
-// ownAddress returns where the sender of a datagram says that it listens, ""
-// where it doesn't say.
-func ownAddress(d *wire.Datagram) string {
+// announcedAddress returns the sender's address according to the rumour about itself in a
+// datagram, "" without such a rumour.
+func announcedAddress(d *wire.Datagram) string {
 	for _, r := range d.Rumours {
 		if r.Name == d.From {
 			return r.Address
@@ -131,76 +131,77 @@
 	return ""
 }
 
-// opened is what came of bytes from the network.
-type opened struct {
-	from    string
-	address string         // where the sender says that it listens, "" for not
-	taken   *wire.Datagram // nil where nothing is to be taken
-	greet   bool           // the sender is to be greeted
-	again   *wire.Datagram // to be sent, as its receiver's process wasn't known before
+// openResult is the result of decoding received bytes.
+type openResult struct {
+	sender        string         // name of the sender
+	listenAddress string         // the sender's address according to itself, "" for none
+	accepted      *wire.Datagram // the accepted datagram, nil for none
+	greet         bool           // whether to send the sender a greeting
+	resend        *wire.Datagram // datagram to send again, as its receiver's boot number wasn't known before, nil for none
 }
 
-// open takes bytes from the network.
-func (s *session) open(b []byte) (opened, error) {
+// open authenticates and decodes received bytes.
+func (s *session) open(b []byte) (openResult, error) {
 	if len(b) < tagSize {
-		return opened{}, Malformed.New("a datagram of %d bytes", len(b))
+		return openResult{}, Malformed.New("datagram of %d bytes is too short", len(b))
 	}
 	payload, tag := b[:len(b)-tagSize], b[len(b)-tagSize:]
 	if !hmac.Equal(tag, s.tag(payload)) {
-		return opened{}, Forged.New("a datagram with a wrong tag")
+		return openResult{}, Forged.New("datagram with an invalid authentication tag")
 	}
 	d := &wire.Datagram{}
 	if err := proto.Unmarshal(payload, d); err != nil {
-		return opened{}, Malformed.Wrap(err, "a datagram that can't be read")
+		return openResult{}, Malformed.Wrap(err, "datagram is not valid protobuf")
 	}
 	if d.To != s.self || d.From == "" || d.From == s.self || d.Boot == 0 {
-		return opened{}, Malformed.New("a datagram from %q for %q", d.From, d.To)
+		return openResult{}, Malformed.New("unexpected datagram from %q for %q", d.From, d.To)
 	}
-	out := opened{from: d.From, address: ownAddress(d)}
+	out := openResult{sender: d.From, listenAddress: announcedAddress(d)}
 	if d.ToBoot != s.boot {
-		s.learn(d, &out)
+		s.recordSender(d, &out)
 		out.greet = true
 		return out, nil
 	}
-	return s.take(d, out)
+	return s.accept(d, out)
 }
 
-// learn notes for which process datagrams are to be made, and what to answer.
-// This changes nothing that is taken: a recording can at most cost a greeting.
-func (s *session) learn(d *wire.Datagram, out *opened) {
+// recordSender records the boot number that datagrams to the sender are addressed to, and the
+// answer to its challenge. It doesn't affect which datagrams are accepted, so that a
+// replayed datagram can at most cause a greeting.
+func (s *session) recordSender(d *wire.Datagram, out *openResult) {
 	r := s.remote(d.From)
 	if r.sendBoot != d.Boot {
 		r.sendBoot = d.Boot
-		out.again, r.pending = r.pending, nil
+		out.resend, r.pending = r.pending, nil
 	}
 	if d.Challenge != 0 {
 		r.answer = d.Challenge
-		r.answers = answersSent
+		r.answersLeft = answerCopies
 	}
 }
 
-func (s *session) take(d *wire.Datagram, out opened) (opened, error) {
-	s.learn(d, &out)
+func (s *session) accept(d *wire.Datagram, out openResult) (openResult, error) {
+	s.recordSender(d, &out)
 	r := s.remote(d.From)
 	if r.boot != d.Boot {
 		if r.challenge == 0 || d.Answer != r.challenge {
 			out.greet = true
 			return out, nil
 		}
-		*r = remote{boot: d.Boot, sendBoot: d.Boot, sent: r.sent, answer: r.answer, answers: r.answers}
+		*r = remote{boot: d.Boot, sendBoot: d.Boot, lastSequence: r.lastSequence, answer: r.answer, answersLeft: r.answersLeft}
 	}
 	if d.Sequence == 0 {
 		return out, nil
 	}
-	if !r.fresh(d.Sequence) {
-		return out, Replayed.New("datagram %d from %q again", d.Sequence, d.From)
+	if !r.markAccepted(d.Sequence) {
+		return out, Replayed.New("datagram %d from %q is a duplicate or too old", d.Sequence, d.From)
 	}
-	out.taken = d
+	out.accepted = d
 	return out, nil
 }
 
-// fresh tells whether a sequence is new, and marks it as taken.
-func (r *remote) fresh(sequence uint64) bool {
+// markAccepted marks a sequence number as accepted. It returns false if it was marked already or is behind the window.
+func (r *remote) markAccepted(sequence uint64) bool {
 	if sequence > r.newest {
 		shift := sequence - r.newest
 		r.window = r.window<<min(shift, windowSize) | 1
