--- a/peerkey/peerkey.go
+++ b/peerkey/peerkey.go
@@ -1,15 +1,18 @@
-// Package peerkey keeps the key that all routers share where the store has it.
+// Package peerkey keeps a router's peer key consistent with the one in the store.
 //
-// The first router makes the key, and all others read it as they start. A store that comes back from a copy which is older than
-// the key has none, or one that a router has made since: the fleet goes on with its own, and whoever starts is alone. So each
-// router looks once in each era of the store, and where its key is older than the era it writes the key again. A router
-// whose key is of this era takes the one that it finds: it has joined nobody yet who knows the other.
+// The first router creates the key in the store, and all others read it when they start. If the store is restored from
+// a backup that is older than the key, it contains no key, or one that a router has created since. The running routers
+// still use the previous key, so that a router which starts could not communicate with them. Therefore each router
+// reads the store's key once in each era of the store. If its own key is of an earlier era, it writes that to the store
+// again. If its own key is of the current era, it adopts the one in the store, as it hasn't communicated yet with
+// routers that use the other key.
 //
-// # What ends a quarrel
+// # Conflicting keys
 //
-// Two groups of routers, each of which takes its key for the older one, would write in turn. A router writes its key
-// in place of another only once in an era, and takes what it finds from then on: so the last one written is everybody's.
-// Who meets datagrams that aren't made with its key looks again, for some time after its start and after a return.
+// Two groups of routers whose keys are both of earlier eras would replace each other's key in turn. Therefore a router
+// replaces another key only once in an era, and from then on adopts the one in the store, so that all routers end up
+// with the last one written. A router that receives datagrams that are not authenticated with its key reads the store
+// again, but only for some time after its start and after a restore.
 package peerkey
 
 import (
@@ -26,30 +29,30 @@
 	"github.com/tamarindstep/tamarindstep/store"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered.
 const ServiceName = "peerkey"
 
 const (
-	// lookPause is how far apart two looks are at the least: each is a call of the store.
-	lookPause = time.Second
-	// unsettledFor is how long after its start, and after a return of the store, a router looks again when it is sent
-	// what isn't made with its key. Later on nobody can make it call the store.
-	unsettledFor = 30 * time.Second
-	// callTimeout bounds a call.
+	// checkInterval is the minimum time between two checks, as each is a call of the store.
+	checkInterval = time.Second
+	// recheckPeriod is how long after the start and after a restore of the store a datagram with another key
+	// triggers a check. Later it doesn't, so that the senders of such datagrams can't cause calls of the store.
+	recheckPeriod = 30 * time.Second
+	// callTimeout is the time limit for the calls of one check.
 	callTimeout = 2 * time.Second
 )
 
-// Settings are what the service is made with.
+// Settings holds the settings of the service.
 type Settings struct {
 	Store store.Store
-	// Key is where the store has it, and Held what this router has read or made, of that version.
+	// Key is the peer key's key in the store. Held is the value that this router has read or created there.
 	Key  string
 	Held store.Value
-	// Take makes another key this router's.
+	// Take is called with the new peer key when this router adopts another one.
 	Take func(key []byte)
 }
 
-// Service keeps the key.
+// Service checks and updates the peer key.
 type Service struct {
 	settings Settings
 	log      zerolog.Logger
@@ -57,11 +60,11 @@
 	cancel   context.CancelFunc
 	ended    chan struct{}
 
-	mu       sync.Mutex
-	era      uint32        // the newest that is known
-	settled  time.Duration // when, by the clock that counts sleep
-	own      uint32        // era of the key
-	replaced uint32        // era in which it was written in place of another, 0 for none yet
+	mu           sync.Mutex
+	era          uint32        // newest era received
+	recheckUntil time.Duration // end of recheckPeriod, by the clock that includes suspension
+	keyEra       uint32        // era of this router's key
+	replacedEra  uint32        // era in which it last replaced another key in the store, 0 for none
 }
 
 // New returns the service.
@@ -69,7 +72,7 @@
 	era := model.Version(settings.Held.Revision).Era()
 	return &Service{
 		settings: settings, log: log, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		era: era, own: era, settled: clock.System.Now() + unsettledFor,
+		era: era, keyEra: era, recheckUntil: clock.System.Now() + recheckPeriod,
 	}
 }
 
@@ -81,9 +84,9 @@
 
 // Start implements kernel.Service.
 func (s *Service) Start(ctx context.Context, _ *kernel.Kernel) error {
-	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	s.cancel = cancel
-	go s.follow(run)
+	go s.run(runCtx)
 	return nil
 }
 
@@ -94,33 +97,33 @@
 	return nil
 }
 
-// EraBegan tells that the store has come back from a copy.
+// EraBegan notifies the service of a new era: the store has been restored from a backup.
 func (s *Service) EraBegan(era uint32) {
 	s.mu.Lock()
 	s.era = max(s.era, era)
-	s.settled = clock.System.Now() + unsettledFor
+	s.recheckUntil = clock.System.Now() + recheckPeriod
 	s.mu.Unlock()
-	s.look()
+	s.requestCheck()
 }
 
-// Stranger tells that something came that isn't made with this router's key.
+// Stranger notifies the service of a received datagram that is not authenticated with this router's key.
 func (s *Service) Stranger() {
 	s.mu.Lock()
-	settled := clock.System.Now() > s.settled
+	settled := clock.System.Now() > s.recheckUntil
 	s.mu.Unlock()
 	if !settled {
-		s.look()
+		s.requestCheck()
 	}
 }
 
-func (s *Service) look() {
+func (s *Service) requestCheck() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Service) follow(ctx context.Context) {
+func (s *Service) run(ctx context.Context) {
 	defer close(s.ended)
 	for ctx.Err() == nil {
 		select {
@@ -128,60 +131,60 @@
 			return
 		case <-s.wake:
 		}
-		for ctx.Err() == nil && s.settle(ctx) != nil {
-			_ = pause.For(ctx, lookPause)
+		for ctx.Err() == nil && s.reconcile(ctx) != nil {
+			_ = pause.For(ctx, checkInterval)
 		}
-		_ = pause.For(ctx, lookPause)
+		_ = pause.For(ctx, checkInterval)
 	}
 }
 
-// settle brings this router's key and the store's together.
-func (s *Service) settle(ctx context.Context) error {
+// reconcile compares this router's key with the store's, and updates one of them if they differ.
+func (s *Service) reconcile(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	there, err := s.settings.Store.Get(ctx, s.settings.Key)
+	stored, err := s.settings.Store.Get(ctx, s.settings.Key)
 	if err != nil {
 		return err
 	}
-	era := model.Version(there.Revision).Era()
+	era := model.Version(stored.Revision).Era()
 	switch {
-	case there.Revision != 0 && string(there.Data) == string(s.settings.Held.Data):
+	case stored.Revision != 0 && string(stored.Data) == string(s.settings.Held.Data):
 		return nil
-	case there.Revision != 0 && !s.mayReplace(era):
-		s.take(there, era)
+	case stored.Revision != 0 && !s.mayReplace(era):
+		s.adopt(stored, era)
 		return nil
 	}
-	got, swapped, err := s.settings.Store.Swap(ctx, s.settings.Key, there.Revision, s.settings.Held.Data)
+	got, swapped, err := s.settings.Store.Swap(ctx, s.settings.Key, stored.Revision, s.settings.Held.Data)
 	if err != nil {
 		return err
 	}
 	if !swapped {
-		s.look() // another was quicker
+		s.requestCheck() // another router has written in the meantime
 		return nil
 	}
 	written := model.Version(got.Revision).Era()
 	s.mu.Lock()
-	if there.Revision != 0 {
-		s.replaced = written
+	if stored.Revision != 0 {
+		s.replacedEra = written
 	}
 	s.mu.Unlock()
-	s.log.Warn().Uint32("era", written).Bool("replaced", there.Revision != 0).Msg("the key that routers share was written again")
+	s.log.Warn().Uint32("era", written).Bool("replaced", stored.Revision != 0).Msg("the key that routers share was written again")
 	return nil
 }
 
-// mayReplace tells whether this router's key goes before another one that the store has in an era.
+// mayReplace reports whether this router's key takes precedence over another one that the store contains in an era.
 func (s *Service) mayReplace(era uint32) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.own < era && s.replaced < era
+	return s.keyEra < era && s.replacedEra < era
 }
 
-// take makes the store's key this router's.
-func (s *Service) take(there store.Value, era uint32) {
-	s.settings.Held = there
+// adopt makes the store's key this router's.
+func (s *Service) adopt(stored store.Value, era uint32) {
+	s.settings.Held = stored
 	s.mu.Lock()
-	s.own = era
+	s.keyEra = era
 	s.mu.Unlock()
-	s.settings.Take(there.Data)
-	s.log.Warn().Uint32("era", era).Msg("the key that routers share was another one: taken")
+	s.settings.Take(stored.Data)
+	s.log.Warn().Uint32("era", era).Msg("adopted another peer key from the store")
 }
--- a/peerkey/peerkey_test.go
+++ b/peerkey/peerkey_test.go
@@ -12,24 +12,24 @@
 	"github.com/tamarindstep/tamarindstep/store"
 )
 
-// memory is a store of one value, in some era.
-type memory struct {
+// memoryStore is a store with one value, in a given era.
+type memoryStore struct {
 	store.Store
 	era      uint32
 	revision int64
 	data     []byte
 }
 
-func (m *memory) value() store.Value {
+func (m *memoryStore) value() store.Value {
 	if m.data == nil {
 		return store.Value{}
 	}
 	return store.Value{Data: m.data, Revision: int64(model.VersionOf(m.era, m.revision))}
 }
 
-func (m *memory) Get(context.Context, string) (store.Value, error) { return m.value(), nil }
+func (m *memoryStore) Get(context.Context, string) (store.Value, error) { return m.value(), nil }
 
-func (m *memory) Swap(_ context.Context, _ string, revision int64, data []byte) (store.Value, bool, error) {
+func (m *memoryStore) Swap(_ context.Context, _ string, revision int64, data []byte) (store.Value, bool, error) {
 	if m.value().Revision != revision {
 		return m.value(), false, nil
 	}
@@ -38,56 +38,56 @@
 	return m.value(), true, nil
 }
 
-// TestOneKeyIsLeft lets groups of routers with keys of their own look at the store in any order, as each hears of the others:
-// one key is left, that of the routers that are older than the era where there is one such group.
-func TestOneKeyIsLeft(t *testing.T) {
+// TestKeysConverge lets groups of routers with different keys check the store repeatedly in random order. One key must
+// remain: that of the routers with a key of an earlier era, if there is one such group.
+func TestKeysConverge(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		groups []string // the key of each router: old ones are of an era before
-		there  string   // in the store, "" for none
+		groups []string // the key of each router; old ones are of the previous era
+		stored string   // key in the store, "" for none
 		want   string   // "" for any
 	}{
-		{"the key is gone", []string{"old", "old", "old"}, "", "old"},
-		{"a starter made one", []string{"old", "old", "new"}, "new", "old"},
-		{"two starters made one", []string{"old", "new", "new"}, "new", "old"},
-		{"two fleets of before", []string{"old", "old", "old too", "old too"}, "", ""},
-		{"two fleets of before and a starter", []string{"old", "old", "old too", "old too", "new"}, "new", ""},
+		{"no key in the store", []string{"old", "old", "old"}, "", "old"},
+		{"created by a new router", []string{"old", "old", "new"}, "new", "old"},
+		{"two new routers", []string{"old", "new", "new"}, "new", "old"},
+		{"two previous fleets", []string{"old", "old", "old too", "old too"}, "", ""},
+		{"two previous fleets and a new router", []string{"old", "old", "old too", "old too", "new"}, "new", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(200) {
-				left := settleAll(t, rand.New(rand.NewPCG(seed, 1)), c.groups, c.there)
-				if len(left) != 1 || c.want != "" && !left[c.want] {
-					t.Fatalf("seed %d: %v", seed, left)
+				remaining := reconcileAll(t, rand.New(rand.NewPCG(seed, 1)), c.groups, c.stored)
+				if len(remaining) != 1 || c.want != "" && !remaining[c.want] {
+					t.Fatalf("seed %d: %v", seed, remaining)
 				}
 			}
 		})
 	}
 }
 
-// settleAll lets routers with these keys look at a store that has one of them, and returns the keys that are left.
-func settleAll(t *testing.T, random *rand.Rand, groups []string, there string) map[string]bool {
+// reconcileAll lets routers with these keys check a store that contains the key stored, and returns the remaining keys.
+func reconcileAll(t *testing.T, random *rand.Rand, groups []string, stored string) map[string]bool {
 	is := is.New(t)
-	kept := &memory{era: 3, revision: 8}
-	if there != "" {
-		kept.data = []byte(there)
+	shared := &memoryStore{era: 3, revision: 8}
+	if stored != "" {
+		shared.data = []byte(stored)
 	}
 	var all []*Service
 	for _, key := range groups {
-		era := kept.era - 1
-		if key == there {
-			era = kept.era
+		era := shared.era - 1
+		if key == stored {
+			era = shared.era
 		}
 		held := store.Value{Data: []byte(key), Revision: int64(model.VersionOf(era, 5))}
-		s := New(Settings{Store: kept, Held: held, Take: func([]byte) {}}, zerolog.Nop())
-		s.EraBegan(kept.era)
+		s := New(Settings{Store: shared, Held: held, Take: func([]byte) {}}, zerolog.Nop())
+		s.EraBegan(shared.era)
 		all = append(all, s)
 	}
 	for range 40 * len(all) {
-		is.NoErr(all[random.IntN(len(all))].settle(context.Background()))
+		is.NoErr(all[random.IntN(len(all))].reconcile(context.Background()))
 	}
-	left := map[string]bool{string(kept.data): true}
+	remaining := map[string]bool{string(shared.data): true}
 	for _, s := range all {
-		left[string(s.settings.Held.Data)] = true
+		remaining[string(s.settings.Held.Data)] = true
 	}
-	return left
+	return remaining
 }
