--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -1,4 +1,4 @@
-// Package vmlist reads the list of live and leaving VMs.
+// Package vmlist reads the platform's list of live and leaving VMs.
 package vmlist
 
 import (
@@ -16,11 +16,11 @@
 const (
 	dialTimeout = time.Second
 	callTimeout = 2 * time.Second
-	// maxAnswer is the size of the largest list taken, in bytes.
-	maxAnswer = 2 << 20
+	// maxResponse is the maximum size of the list, in bytes.
+	maxResponse = 2 << 20
 )
 
-// Unavailable is the error for a list that can't be read.
+// Unavailable is the error for a list that could not be read.
 var Unavailable = errorx.NewNamespace("vmlist").NewType("unavailable")
 
 // The roles and states of a VM.
@@ -38,26 +38,26 @@
 	DataHall string `json:"data_hall"`
 	Role     string `json:"role"`
 	State    string `json:"state"`
-	// Processor is a router's part of a core, 0 where it isn't told.
+	// Processor is the share of a processor core that a router has, 0 if it is unknown.
 	Processor float64 `json:"processor,omitempty"`
 }
 
-// List is the platform's lagging list of live and leaving VMs.
+// List is the platform's list of live and leaving VMs. It lags behind their actual state.
 type List interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// HTTP reads the list as JSON from GET /vms.
+// HTTP reads the list with GET /vms, which returns JSON.
 type HTTP struct {
 	client *exchange.Client
 }
 
-// NewHTTP returns the adapter for a service at an IP and port.
+// NewHTTP returns a reader of the list at address, an IP and port.
 func NewHTTP(address string) *HTTP {
 	return &HTTP{client: exchange.NewClient(address, dialTimeout)}
 }
 
-// Close closes the connections that are kept.
+// Close closes the idle connections.
 func (l *HTTP) Close() { l.client.Close() }
 
 // VMs implements List.
@@ -66,23 +66,23 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("/vms")
 	req.Header.SetHost("vmlist")
-	answer, err := l.client.Do(ctx, req, exchange.Options{Patient: callTimeout})
+	response, err := l.client.Do(ctx, req, exchange.Options{Patient: callTimeout})
 	if err != nil {
-		return nil, Unavailable.Wrap(err, "the VM list doesn't answer")
+		return nil, Unavailable.Wrap(err, "no response to the request for the VM list")
 	}
-	defer answer.Close()
+	defer response.Close()
 	var out struct {
 		VMs []VM `json:"vms"`
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(response, maxResponse))
 	if err != nil {
-		return nil, Unavailable.Wrap(err, "the VM list breaks off")
+		return nil, Unavailable.Wrap(err, "reading the VM list")
 	}
-	if answer.StatusCode() != fasthttp.StatusOK {
-		return nil, Unavailable.New("the VM list answers with status %d", answer.StatusCode())
+	if response.StatusCode() != fasthttp.StatusOK {
+		return nil, Unavailable.New("the request for the VM list returned status %d", response.StatusCode())
 	}
 	if err := json.Unmarshal(body, &out); err != nil {
-		return nil, Unavailable.Wrap(err, "the VM list is garbled")
+		return nil, Unavailable.Wrap(err, "the VM list is not valid JSON")
 	}
 	return out.VMs, nil
 }
