--- a/back/back.go
+++ b/back/back.go
@@ -15,20 +15,20 @@
 	"github.com/tamarindstep/tamarindstep/kernel"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name under which the service is registered.
 const ServiceName = "back"
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// patience is how long a backend server may be silent before its answer
-	// counts as broken off.
-	patience = 60 * time.Second
+	// responseTimeout is how long a backend server may send nothing before its
+	// response is considered broken off.
+	responseTimeout = 60 * time.Second
 )
 
-// Service keeps the connections to the backend servers.
+// Service sends requests to backend servers and keeps connections to them.
 type Service struct {
 	clients *exchange.Clients
-	looks   singleflight.Group // by address
+	probes  singleflight.Group // by address
 }
 
 // New returns the service.
@@ -49,33 +49,33 @@
 	return nil
 }
 
-// Send sends a request to the backend server at an IP and port, if it is still wanted once there is a connection.
-// exchange.NotSent tells of its error whether any byte was written.
+// Send sends a request to the backend server at address, an IP and port. Once connected, it calls wanted and sends
+// nothing if that returns false. For its error exchange.NotSent reports whether no byte was written.
 func (s *Service) Send(ctx context.Context, address string, req *fasthttp.Request, wanted func() bool) (*exchange.Answer, error) {
-	return s.clients.Of(address).Do(ctx, req, exchange.Options{Patient: patience, Wanted: wanted})
+	return s.clients.Of(address).Do(ctx, req, exchange.Options{Patient: responseTimeout, Wanted: wanted})
 }
 
-// Run is one run of a backend server: its IP and port, and when it started, 0 where it doesn't say.
+// Run identifies one run of a backend server by its address, an IP and port, and its start time, 0 if unknown.
 type Run struct {
 	Address string
 	Born    uint64
 }
 
-// Exchange is Send to one run of a backend server, with options of the caller's.
+// Exchange sends a request to one run of a backend server, with the given options.
 func (s *Service) Exchange(ctx context.Context, to Run, req *fasthttp.Request, options exchange.Options) (*exchange.Answer, error) {
 	return s.clients.OfRun(to.Address, to.Born).Do(ctx, req, options)
 }
 
-// lookTimeout bounds the look at a backend server whose answer broke off: a port that nobody listens on
-// is refused within a round trip, some milliseconds, and whoever waits longer learns no more of it.
-const lookTimeout = 150 * time.Millisecond
+// probeTimeout is the time limit for probing a backend server whose response broke off. Without a listener on the port
+// the connection is refused within a round trip, some milliseconds; waiting longer yields no more information.
+const probeTimeout = 150 * time.Millisecond
 
-// Ended tells whether the backend server at an IP and port has ended, as far as a new connection shows:
-// it is refused there. One that is cut off, frozen or dark doesn't answer, and one that has only reset
-// connections takes new ones; neither has ended. All requests that one end broke off share one look.
+// Ended reports whether the backend server at address, an IP and port, has ended: a new connection is refused then. A
+// server that is unreachable or hangs doesn't respond, and one that has only reset connections accepts new ones; neither
+// has ended. All requests that were broken off by the end of one server share one probe.
 func (s *Service) Ended(address string) bool {
-	ended, _, _ := s.looks.Do(address, func() (any, error) {
-		c, err := net.DialTimeout("tcp", address, lookTimeout)
+	ended, _, _ := s.probes.Do(address, func() (any, error) {
+		c, err := net.DialTimeout("tcp", address, probeTimeout)
 		if err == nil {
 			_ = c.Close()
 		}
