--- a/fingerprint/fingerprint.go
+++ b/fingerprint/fingerprint.go
@@ -1,13 +1,11 @@
-// Package fingerprint tells requests that come again from others.
+// Package fingerprint identifies requests that callers send repeatedly.
 //
-// A caller that sends a request again gives it another identifier; what stays is the account, the
-// host, the method, the path and the body. A fingerprint is a keyed hash of these (HMAC with
-// SHA-256, cut to 64 bits), so that it may stand in logs and go to other routers: without the key that
-// all routers share, neither a path nor a body can be guessed from it. All routers make the same one,
-// however the body arrived.
+// A caller that sends a request again uses another request ID, but the same account, host, method, path and body. A
+// fingerprint is a keyed hash of these (HMAC with SHA-256, truncated to 64 bits). It can be written to logs and sent to
+// other routers: without the peer key, which all routers share, guesses of a path or body can't be verified against it.
+// All routers compute the same fingerprint, regardless of how the body was transferred.
 //
-// Limit: with 64 bits, two of a thousand requests that are kept account of share a
-// fingerprint once in 10^13 cases.
+// Limit: with 64 bits, two of a thousand recorded requests have the same fingerprint in one of 10^13 cases.
 package fingerprint
 
 import (
@@ -19,10 +17,10 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// purpose keeps these hashes apart from whatever else the key is used for.
+// purpose separates the derived key from other uses of the peer key.
 const purpose = "request fingerprint"
 
-// Request is what stays the same when a request comes again.
+// Request holds the parts of a request that are the same when it is sent again.
 type Request struct {
 	Account string // "" for none
 	Host    []byte
@@ -31,17 +29,17 @@
 	Body    []byte
 }
 
-// Maker makes fingerprints with the key of a fleet.
+// Maker computes fingerprints with the peer key.
 type Maker struct{ key *atomic.Pointer[[]byte] }
 
-// NewMaker returns a maker; the key is the one that all routers share.
+// NewMaker returns a Maker with the peer key, which all routers share.
 func NewMaker(key []byte) Maker {
 	m := Maker{key: &atomic.Pointer[[]byte]{}}
 	m.Rekey(key)
 	return m
 }
 
-// Rekey makes another key the fleet's. Fingerprints that were made before are of no use any more.
+// Rekey replaces the peer key. Earlier fingerprints can no longer be compared with new ones.
 func (m Maker) Rekey(key []byte) {
 	derived := hmac.New(sha256.New, key)
 	_, _ = derived.Write([]byte(purpose))
@@ -49,12 +47,12 @@
 	m.key.Store(&sum)
 }
 
-// Of returns a request's fingerprint. With a body of 10 kB it takes about 8 microseconds (BenchmarkOf), and is
-// made only of requests whose account has one that ended a backend server, or that broke off.
+// Of returns the fingerprint of a request. It takes about 8 microseconds for a body of 10 kB (BenchmarkOf), and is
+// called only for requests that broke off, or whose account has a request that ended a backend server.
 func (m Maker) Of(r Request) model.Fingerprint {
 	h := hmac.New(sha256.New, *m.key.Load())
 	for _, field := range [][]byte{[]byte(r.Account), r.Host, r.Method, r.Path, r.Body} {
-		// With its length before it, no field can be taken for a part of the next one.
+		// The length prefix makes the boundaries between fields unambiguous.
 		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field))))
 		_, _ = h.Write(field)
 	}
--- a/fingerprint/fingerprint_test.go
+++ b/fingerprint/fingerprint_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestFieldsAreKeptApart(t *testing.T) {
+func TestFieldsAreDistinguished(t *testing.T) {
 	is := is.New(t)
 	m := NewMaker([]byte("a key"))
 	first := Request{Account: "league", Path: []byte("/ab"), Body: []byte("c")}
