--- a/back/back.go
+++ b/back/back.go
@@ -70,9 +70,9 @@
 // the connection is refused within a round trip, some milliseconds; waiting longer yields no more information.
 const probeTimeout = 150 * time.Millisecond
 
-// Ended reports whether the backend server at address, an IP and port, has ended: a new connection is refused then. A
-// server that is unreachable or hangs doesn't respond, and one that has only reset connections accepts new ones; neither
-// has ended. All requests that were broken off by the end of one server share one probe.
+// Ended reports whether the backend server at address, an IP and port, has ended: a new connection is refused then.
+// A server that is unreachable or hangs doesn't respond, and one that has only reset connections accepts new ones;
+// neither has ended. All requests that were broken off by the end of one server share one probe.
 func (s *Service) Ended(address string) bool {
 	ended, _, _ := s.probes.Do(address, func() (any, error) {
 		c, err := net.DialTimeout("tcp", address, probeTimeout)
--- a/fingerprint/fingerprint.go
+++ b/fingerprint/fingerprint.go
@@ -1,9 +1,9 @@
 // Package fingerprint identifies requests that callers send repeatedly.
 //
-// A caller that sends a request again uses another request ID, but the same account, host, method, path and body. A
-// fingerprint is a keyed hash of these (HMAC with SHA-256, truncated to 64 bits). It can be written to logs and sent to
-// other routers: without the peer key, which all routers share, guesses of a path or body can't be verified against it.
-// All routers compute the same fingerprint, regardless of how the body was transferred.
+// A caller that sends a request again uses another request ID, but the same client account, host, method, path and body.
+// A fingerprint is a keyed hash of these (HMAC with SHA-256, truncated to 64 bits). It can be written to logs and sent
+// to other routers: without the peer key, which all routers share, guesses of a path or body can't be verified against
+// it. All routers compute the same fingerprint, regardless of how the body was transferred.
 //
 // Limit: with 64 bits, two of a thousand recorded requests have the same fingerprint in one of 10^13 cases.
 package fingerprint
@@ -48,7 +48,7 @@
 }
 
 // Of returns the fingerprint of a request. It takes about 8 microseconds for a body of 10 kB (BenchmarkOf), and is
-// called only for requests that broke off, or whose account has a request that ended a backend server.
+// called only for requests that broke off, or whose client account has a request that ended a backend server.
 func (m Maker) Of(r Request) model.Fingerprint {
 	h := hmac.New(sha256.New, *m.key.Load())
 	for _, field := range [][]byte{[]byte(r.Account), r.Host, r.Method, r.Path, r.Body} {
--- a/peer/receiver.go
+++ b/peer/receiver.go
@@ -22,7 +22,7 @@
 
 // eventLoop receives datagrams with gnet. Its loop blocks in its own system call, on a
 // thread from which the Go runtime must move other work away and back at each datagram.
-// It suits machines with several processors.
+// It suits VMs with several processors.
 type eventLoop struct {
 	gnet.BuiltinEventEngine
 	engine    gnet.Engine
@@ -59,7 +59,7 @@
 const receiveBuffer = 64 << 10
 
 // runtimePoller receives datagrams with the Go runtime's poller, which also serves all
-// other connections. It suits machines with one processor.
+// other connections. It suits VMs with one processor.
 type runtimePoller struct{ conn *net.UDPConn }
 
 func (p *runtimePoller) run(listen string, listening func(error), handle func(b []byte, from net.Addr)) {
--- a/peerkey/peerkey.go
+++ b/peerkey/peerkey.go
@@ -45,7 +45,7 @@
 // Settings holds the settings of the service.
 type Settings struct {
 	Store store.Store
-	// Key is the peer key's key in the store. Held is the value that this router has read or created there.
+	// Key is the store key of the peer key. Held is the value that this router has read or created there.
 	Key  string
 	Held store.Value
 	// Take is called with the new peer key when this router adopts another one.
