--- a/config/check/check.go
+++ b/config/check/check.go
@@ -1,5 +1,5 @@
-// Package check defines a check of an operators' file. Each check has a
-// directory of its own below this one, named after its code; package checks
+// Package check defines the type of a check of an operators' file. Each check has
+// its own directory below this one, named after its code; package checks
 // lists them.
 package check
 
@@ -11,7 +11,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/strictyaml"
 )
 
-// Doc is a check's documentation.
+// Doc is the documentation of a check.
 type Doc struct {
 	Title    string
 	Text     string
@@ -19,46 +19,46 @@
 	Severity finding.Severity
 }
 
-// Check is one check.
+// Check is a check of an operators' file.
 type Check struct {
 	Code string
 	Doc  Doc
 	Run  func(*Pass)
 }
 
-// Pass is one run of one check over one file.
+// Pass is one run of a check on a file.
 type Pass struct {
-	File     *config.File
-	places   strictyaml.Places
-	check    *Check
-	findings finding.List
+	File      *config.File
+	positions strictyaml.Places
+	check     *Check
+	findings  finding.List
 }
 
-// Run runs a check and returns what it finds.
-func Run(c *Check, f *config.File, places strictyaml.Places) finding.List {
-	p := &Pass{File: f, places: places, check: c}
+// Run runs a check and returns its findings.
+func Run(c *Check, f *config.File, positions strictyaml.Places) finding.List {
+	p := &Pass{File: f, positions: positions, check: c}
 	c.Run(p)
 	return p.findings
 }
 
-// Report adds a finding at the value with that path, such as "accounts[2].name".
+// Report adds a finding at the value with the given path, such as "accounts[2].name".
 func (p *Pass) Report(path, format string, args ...any) {
 	p.findings = append(p.findings, finding.Finding{
 		Code:     p.check.Code,
 		Severity: p.check.Doc.Severity,
-		Position: p.places.At(path),
+		Position: p.positions.At(path),
 		Message:  fmt.Sprintf(format, args...),
 	})
 }
 
-// Named is a name in the file, with its path.
+// Named is a name defined in the file, with its path.
 type Named struct {
 	Kind string
 	Name string
 	Path string
 }
 
-// Names returns every name that the file gives to something.
+// Names returns all names that the file defines.
 func (p *Pass) Names() []Named {
 	var out []Named
 	for i, a := range p.File.Accounts {
--- a/config/check/checks/checks.go
+++ b/config/check/checks/checks.go
@@ -20,7 +20,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// All holds the checks in the order of their codes.
+// All lists the checks in the order of their codes.
 var All = []*check.Check{
 	ts2000.Check,
 	ts2001.Check,
@@ -37,13 +37,13 @@
 	ts2012.Check,
 }
 
-// File reads and checks an operators' file and returns all findings in one
-// report, ordered by place. The file is of use only where none is an error.
+// File reads and checks an operators' file and returns all findings, sorted by position.
+// The returned file is valid only if no finding is an error.
 func File(name string, data []byte) (*config.File, finding.List) {
-	f, places, findings := config.Read(name, data)
+	f, positions, findings := config.Read(name, data)
 	if !findings.Failed() {
 		for _, c := range All {
-			findings = append(findings, check.Run(c, f, places)...)
+			findings = append(findings, check.Run(c, f, positions)...)
 		}
 	}
 	findings.Sort()
--- a/config/check/checks/checks_test.go
+++ b/config/check/checks/checks_test.go
@@ -14,15 +14,15 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-var want = regexp.MustCompile(`TS\d{4}`)
+var codePattern = regexp.MustCompile(`TS\d{4}`)
 
-// expected returns the findings that a data file's comments ask for, as
+// expected returns the findings listed in the comments of a data file, as
 // LINE:CODE.
 func expected(text string) []string {
 	var out []string
 	for i, line := range strings.Split(text, "\n") {
 		if _, comment, ok := strings.Cut(line, "# want "); ok {
-			for _, code := range want.FindAllString(comment, -1) {
+			for _, code := range codePattern.FindAllString(comment, -1) {
 				out = append(out, fmt.Sprintf("%d:%s", i+1, code))
 			}
 		}
@@ -60,13 +60,13 @@
 	seen := map[string]bool{}
 	for _, c := range All {
 		is.True(c.Doc.Title != "" && c.Doc.Text != "" && c.Doc.Since != "" && c.Run != nil)
-		is.True(!seen[c.Code]) // each code once
+		is.True(!seen[c.Code]) // codes are unique
 		seen[c.Code] = true
 	}
 	text, err := os.ReadFile("../../../docs/OPERATORS.md")
 	is.NoErr(err)
 	for code := range seen {
-		is.True(strings.Contains(string(text), code)) // listed for operators
+		is.True(strings.Contains(string(text), code)) // documented for operators
 	}
 }
 
@@ -90,11 +90,11 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		got, findings := File("fuzz", text)
 		if got == nil && !findings.Failed() {
-			t.Fatal("neither a file nor a finding")
+			t.Fatal("got neither a file nor an error")
 		}
 		for _, x := range findings {
 			if x.Code == "" || x.Severity != finding.Error && x.Severity != finding.Warning {
-				t.Fatalf("odd finding: %+v", x)
+				t.Fatalf("invalid finding: %+v", x)
 			}
 		}
 	})
--- a/config/check/ts2000/ts2000.go
+++ b/config/check/ts2000/ts2000.go
@@ -1,4 +1,4 @@
-// Package ts2000 finds where names are words of letters, digits, dots, dashes and underscores.
+// Package ts2000 reports names with characters that aren't allowed or with a wrong length.
 package ts2000
 
 import (
@@ -20,11 +20,11 @@
 	Run: run,
 }
 
-var word = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 func run(p *check.Pass) {
 	for _, n := range p.Names() {
-		if !word.MatchString(n.Name) {
+		if !namePattern.MatchString(n.Name) {
 			p.Report(n.Path, "%q can't be the name of a %s", n.Name, n.Kind)
 		}
 	}
--- a/config/check/ts2001/ts2001.go
+++ b/config/check/ts2001/ts2001.go
@@ -1,4 +1,4 @@
-// Package ts2001 finds where two things of a kind have one name.
+// Package ts2001 reports names used by two objects of the same kind.
 package ts2001
 
 import (
--- a/config/check/ts2002/ts2002.go
+++ b/config/check/ts2002/ts2002.go
@@ -1,4 +1,4 @@
-// Package ts2002 finds where two names have one hash.
+// Package ts2002 reports names of the same kind whose hashes collide.
 package ts2002
 
 import (
--- a/config/check/ts2003/ts2003.go
+++ b/config/check/ts2003/ts2003.go
@@ -1,4 +1,4 @@
-// Package ts2003 finds where a route names a pool that isn't there.
+// Package ts2003 reports routes whose pool is not defined.
 package ts2003
 
 import (
@@ -26,15 +26,15 @@
 	for i, r := range p.File.Routes {
 		path := fmt.Sprintf("routes[%d]", i)
 		if len(r.Split) == 0 {
-			known(p, path+".pool", r.Pool)
+			checkPool(p, path+".pool", r.Pool)
 		}
 		for j, share := range r.Split {
-			known(p, fmt.Sprintf("%s.split[%d].pool", path, j), share.Pool)
+			checkPool(p, fmt.Sprintf("%s.split[%d].pool", path, j), share.Pool)
 		}
 	}
 }
 
-func known(p *check.Pass, path, name string) {
+func checkPool(p *check.Pass, path, name string) {
 	if !slices.ContainsFunc(p.File.Pools, func(pool config.Pool) bool { return pool.Name == name }) {
 		p.Report(path, "there is no pool %q", name)
 	}
--- a/config/check/ts2004/ts2004.go
+++ b/config/check/ts2004/ts2004.go
@@ -1,4 +1,4 @@
-// Package ts2004 finds where a number is out of its range.
+// Package ts2004 reports numbers that are out of range.
 package ts2004
 
 import (
--- a/config/check/ts2005/ts2005.go
+++ b/config/check/ts2005/ts2005.go
@@ -1,4 +1,4 @@
-// Package ts2005 finds where a key isn't given as its hash.
+// Package ts2005 reports keys that aren't given as a hash.
 package ts2005
 
 import (
@@ -21,12 +21,12 @@
 	Run: run,
 }
 
-var hash = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
+var hashPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 
 func run(p *check.Pass) {
 	for i, a := range p.File.Accounts {
 		for j, k := range a.Keys {
-			if !hash.MatchString(k) {
+			if !hashPattern.MatchString(k) {
 				p.Report(fmt.Sprintf("accounts[%d].keys[%d]", i, j), "a key is given as sha256: and 64 hexadecimal digits")
 			}
 		}
--- a/config/check/ts2006/ts2006.go
+++ b/config/check/ts2006/ts2006.go
@@ -1,4 +1,4 @@
-// Package ts2006 finds where two accounts have one key.
+// Package ts2006 reports keys used by two client accounts.
 package ts2006
 
 import (
@@ -21,13 +21,13 @@
 }
 
 func run(p *check.Pass) {
-	owner := map[string]string{}
+	owners := map[string]string{}
 	for i, a := range p.File.Accounts {
 		for j, k := range a.Keys {
-			if other, ok := owner[k]; ok {
+			if other, ok := owners[k]; ok {
 				p.Report(fmt.Sprintf("accounts[%d].keys[%d]", i, j), "the key is given already, to %q", other)
 			}
-			owner[k] = a.Name
+			owners[k] = a.Name
 		}
 	}
 }
--- a/config/check/ts2007/ts2007.go
+++ b/config/check/ts2007/ts2007.go
@@ -1,4 +1,4 @@
-// Package ts2007 finds where an address isn't an IP and port.
+// Package ts2007 reports addresses that aren't an IP and port.
 package ts2007
 
 import (
--- a/config/check/ts2008/ts2008.go
+++ b/config/check/ts2008/ts2008.go
@@ -1,4 +1,4 @@
-// Package ts2008 finds where a word isn't one of those allowed.
+// Package ts2008 reports values that aren't among the allowed ones.
 package ts2008
 
 import (
--- a/config/check/ts2009/ts2009.go
+++ b/config/check/ts2009/ts2009.go
@@ -1,4 +1,4 @@
-// Package ts2009 finds where two routes take the same requests.
+// Package ts2009 reports routes that match the same requests.
 package ts2009
 
 import (
@@ -25,7 +25,7 @@
 	seen := map[key]string{}
 	for i, r := range p.File.Routes {
 		path := fmt.Sprintf("routes[%d]", i)
-		if given(r.Model)+given(r.Service)+given(r.Host) != 1 {
+		if oneIfSet(r.Model)+oneIfSet(r.Service)+oneIfSet(r.Host) != 1 {
 			p.Report(path, "a route names either a model, a service or a host")
 			continue
 		}
@@ -37,8 +37,8 @@
 	}
 }
 
-// given returns 1 for a value that is there.
-func given(s string) int {
+// oneIfSet returns 1 if s is not empty, and 0 otherwise.
+func oneIfSet(s string) int {
 	if s == "" {
 		return 0
 	}
--- a/config/check/ts2010/ts2010.go
+++ b/config/check/ts2010/ts2010.go
@@ -1,4 +1,4 @@
-// Package ts2010 finds where a pool has no backend servers.
+// Package ts2010 reports pools without backend servers.
 package ts2010
 
 import (
--- a/config/check/ts2011/ts2011.go
+++ b/config/check/ts2011/ts2011.go
@@ -1,4 +1,4 @@
-// Package ts2011 finds where a route and its pool don't fit.
+// Package ts2011 reports routes that don't match the kind of their pool.
 package ts2011
 
 import (
--- a/config/check/ts2012/ts2012.go
+++ b/config/check/ts2012/ts2012.go
@@ -1,4 +1,4 @@
-// Package ts2012 finds where data halls are evacuated that aren't there, or all of them.
+// Package ts2012 reports evacuated data halls that don't exist, and evacuations of all data halls.
 package ts2012
 
 import (
@@ -21,24 +21,24 @@
 }
 
 func run(p *check.Pass) {
-	inHall := map[string]int{}
+	backendsInHall := map[string]int{}
 	for _, pool := range p.File.Pools {
 		if pool.Discovered {
-			return // which data halls there are isn't known here
+			return // the data halls of discovered backend servers are unknown here
 		}
 		for _, b := range pool.Backends {
-			inHall[b.DataHall]++
+			backendsInHall[b.DataHall]++
 		}
 	}
-	left := len(inHall)
+	remaining := len(backendsInHall)
 	for i, hall := range p.File.Evacuated {
 		path := fmt.Sprintf("evacuated[%d]", i)
-		if inHall[hall] == 0 {
+		if backendsInHall[hall] == 0 {
 			p.Report(path, "no backend server is in data hall %q", hall)
 			continue
 		}
-		left--
-		if left == 0 {
+		remaining--
+		if remaining == 0 {
 			p.Report(path, "every data hall is evacuated")
 		}
 	}
--- a/config/compile.go
+++ b/config/compile.go
@@ -13,60 +13,60 @@
 	"github.com/tamarindstep/tamarindstep/policy/policies"
 )
 
-// The values that stand where the file gives none.
+// The values used for fields that are missing from the file.
 const (
-	defaultWeight = 1.0
-	defaultWait   = 60 * time.Second
-	defaultCost   = 100.0 // of a call of a service, in tokens
+	defaultWeight   = 1.0
+	defaultWait     = 60 * time.Second
+	defaultCallCost = 100.0 // tokens per call of a service
 )
 
-// InForce is a generation of the configuration in the form the services use.
-// It is never changed.
+// InForce is a compiled generation of the configuration, as the services use it.
+// It is immutable.
 type InForce struct {
 	Generation uint64
 	File       *File
 	Core       *core.Config
 	accounts   map[string]model.AccountID // by key hash
 	models     map[string]*CompiledRoute
-	services   map[string][]*CompiledRoute // by service, the longest path first
-	hosts      map[string][]*CompiledRoute // by host, the longest path first
+	services   map[string][]*CompiledRoute // by service, longest path first
+	hosts      map[string][]*CompiledRoute // by host, longest path first
 	addresses  map[model.BackendID]string
 	Surroundings
 }
 
-// Surroundings are what routers find beside the operators' file.
+// Surroundings is the state that routers read from sources other than the operators' file.
 type Surroundings struct {
-	// Catalog is the revision of the backend servers that have announced themselves.
+	// Catalog is the revision of Discovered.
 	Catalog    uint64
 	Discovered []Discovered
-	// Halls is the revision of Evacuated: data halls that are evacuated though the file
-	// doesn't say so.
+	// Halls is the revision of Evacuated, the data halls that are evacuated in addition to
+	// those of the file.
 	Halls     uint64
 	Evacuated []string
 }
 
-// CompiledRoute is a route ready for use.
+// CompiledRoute is a route with its defaults set and its names resolved.
 type CompiledRoute struct {
 	Name       string
 	Path       string
 	Pool       model.PoolID
 	Class      model.Class
 	Repeatable bool
-	BestEffort bool // keyed requests are sent unclaimed while the store is out
+	BestEffort bool // keyed requests are sent without a claim while the store is unavailable
 	Wait       time.Duration
 	CallCost   float64
-	Split      []PoolShare // of a host route
+	Split      []PoolShare // set for host routes only
 	Through    Through
 }
 
-// PoolShare is the part of a route's requests that a pool serves, from 0 to 1.
+// PoolShare is the fraction of a route's requests that a pool serves, from 0 to 1.
 type PoolShare struct {
 	Pool model.PoolID
 	Part float64
 }
 
-// PoolFor returns the pool for a request, given a number from 0 to 1 that
-// spreads the requests evenly.
+// PoolFor returns the pool for a request. The argument is a uniformly distributed
+// number from 0 to 1.
 func (r *CompiledRoute) PoolFor(draw float64) model.PoolID {
 	for _, share := range r.Split {
 		if draw < share.Part {
@@ -77,7 +77,7 @@
 	return r.Pool
 }
 
-// Discovered is a run of a backend server that has announced itself.
+// Discovered is a process of a backend server that has registered itself.
 type Discovered struct {
 	model.Incarnation
 	Pool     string
@@ -85,16 +85,16 @@
 	DataHall string
 	Slots    int
 	Leaving  bool
-	Cold     bool // slow from its start
+	Cold     bool // started recently and still slow
 }
 
-// Compile puts a file that passed its checks into the form the services use.
+// Compile compiles a file that has passed all checks.
 func Compile(generation uint64, f *File) *InForce {
 	return CompileWith(generation, f, Surroundings{})
 }
 
-// CompileWith is Compile with what is found beside the file.
-func CompileWith(generation uint64, f *File, around Surroundings) *InForce {
+// CompileWith compiles a file that has passed all checks together with state from other sources.
+func CompileWith(generation uint64, f *File, state Surroundings) *InForce {
 	c := &InForce{
 		Generation: generation,
 		File:       f,
@@ -117,26 +117,26 @@
 	}
 	c.compileAccounts()
 	c.compileRoutes(c.compilePools())
-	return c.With(around)
+	return c.With(state)
 }
 
-// With returns the same configuration with other surroundings, which change more often
-// than the file, whose routes take longer to compile.
-func (c *InForce) With(around Surroundings) *InForce {
+// With returns a copy of the configuration with other Surroundings. These change more often
+// than the file, and the file's routes take longer to compile.
+func (c *InForce) With(state Surroundings) *InForce {
 	out := *c
-	inCore := *c.Core
-	out.Core = &inCore
-	out.Surroundings = around
-	out.Core.Catalog, out.Core.Halls = around.Catalog, around.Halls
+	coreConfig := *c.Core
+	out.Core = &coreConfig
+	out.Surroundings = state
+	out.Core.Catalog, out.Core.Halls = state.Catalog, state.Halls
 	out.Core.Backends = map[model.BackendID]core.Backend{}
 	out.addresses = map[model.BackendID]string{}
-	out.compileListed()
-	out.compileDiscovered(around.Discovered)
+	out.compileStatic()
+	out.compileDiscovered(state.Discovered)
 	out.compileEvacuated()
 	return &out
 }
 
-// compileEvacuated marks the backend servers of the data halls that are evacuated.
+// compileEvacuated marks the backend servers in evacuated data halls.
 func (c *InForce) compileEvacuated() {
 	if len(c.File.Evacuated)+len(c.Evacuated) == 0 {
 		return
@@ -170,7 +170,7 @@
 	}
 }
 
-// compilePools returns what a call of each pool costs.
+// compilePools returns the cost of a call by pool, in tokens.
 func (c *InForce) compilePools() map[string]float64 {
 	costs := map[string]float64{}
 	for _, p := range c.File.Pools {
@@ -186,14 +186,14 @@
 		}
 		if p.Kind == KindService {
 			c.Core.Pools[id] = core.Pool{Name: p.Name, ExpectedOutput: 1, ColdRate: p.ColdRate, ColdFor: p.ColdFor}
-			costs[p.Name] = cmp.Or(p.CallCost, defaultCost)
+			costs[p.Name] = cmp.Or(p.CallCost, defaultCallCost)
 		}
 	}
 	return costs
 }
 
-// compileListed adds the backend servers that the file lists.
-func (c *InForce) compileListed() {
+// compileStatic adds the backend servers listed in the file.
+func (c *InForce) compileStatic() {
 	for _, p := range c.File.Pools {
 		for _, b := range p.Backends {
 			id := model.Backend(b.Name)
@@ -205,7 +205,7 @@
 	}
 }
 
-// compileDiscovered adds the backend servers that have announced themselves for
+// compileDiscovered adds the backend servers that have registered themselves for
 // a pool of the file.
 func (c *InForce) compileDiscovered(discovered []Discovered) {
 	for _, d := range discovered {
@@ -234,7 +234,7 @@
 			Wait: cmp.Or(r.Wait, defaultWait), CallCost: costs[r.Pool], Through: r.Through,
 		}
 		if r.Host != "" {
-			route.Split = splitOf(r)
+			route.Split = splitFractions(r)
 			c.hosts[r.Host] = append(c.hosts[r.Host], route)
 			continue
 		}
@@ -245,19 +245,19 @@
 		c.services[r.Service] = append(c.services[r.Service], route)
 	}
 	for _, routes := range c.services {
-		longestFirst(routes)
+		sortByPathLength(routes)
 	}
 	for _, routes := range c.hosts {
-		longestFirst(routes)
+		sortByPathLength(routes)
 	}
 }
 
-func longestFirst(routes []*CompiledRoute) {
+func sortByPathLength(routes []*CompiledRoute) {
 	slices.SortStableFunc(routes, func(a, b *CompiledRoute) int { return cmp.Compare(len(b.Path), len(a.Path)) })
 }
 
-// splitOf returns the parts of a route's pools, which add up to 1.
-func splitOf(r Route) []PoolShare {
+// splitFractions returns the fractions of a route's pools, which add up to 1.
+func splitFractions(r Route) []PoolShare {
 	if len(r.Split) == 0 {
 		return []PoolShare{{Pool: model.Pool(r.Pool), Part: 1}}
 	}
@@ -274,22 +274,22 @@
 	return out
 }
 
-// HashKey returns a key's hash as the file gives it.
+// HashKey returns the hash of an API key in the format used in the file.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// AccountOf returns the client account that a key belongs to.
+// AccountOf returns the client account of an API key.
 func (c *InForce) AccountOf(key string) (model.AccountID, bool) {
 	id, ok := c.accounts[HashKey(key)]
 	return id, ok
 }
 
-// ModelRoute returns the route of a model, or nil.
+// ModelRoute returns the route for a model, or nil.
 func (c *InForce) ModelRoute(name string) *CompiledRoute { return c.models[name] }
 
-// ServiceRoute returns the route of a path of a service, or nil.
+// ServiceRoute returns the route for a path of a service, or nil.
 func (c *InForce) ServiceRoute(service, path string) *CompiledRoute {
 	for _, r := range c.services[service] {
 		if strings.HasPrefix(path, r.Path) {
@@ -299,7 +299,7 @@
 	return nil
 }
 
-// HostRoute returns the route of a host and path, or nil.
+// HostRoute returns the route for a host and path, or nil.
 func (c *InForce) HostRoute(host, path string) *CompiledRoute {
 	for _, r := range c.hosts[host] {
 		if strings.HasPrefix(path, r.Path) {
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds the operators' files: their types, their strict
-// reading, what they amount to for the routers, and how two of them differ.
+// Package config defines the operators' configuration file. It reads files strictly,
+// compiles them for the routers, and compares them.
 package config
 
 import (
@@ -12,28 +12,28 @@
 // Version is the version of the file format.
 const Version = 1
 
-// MaxSize is the size of the largest file, in bytes: as much as the platform's
-// store holds in one value, with room for what goes with it.
+// MaxSize is the maximum size of a file in bytes. It is the maximum size of a value in the
+// platform's store, less some space for the data that is stored with the file.
 const MaxSize = 1000 << 10
 
-// File is an operators' file. It is the whole configuration.
+// File is an operators' file. It contains the whole configuration.
 type File struct {
 	Version  int       `yaml:"version,required" json:"version"`
 	Policy   string    `yaml:"policy" json:"policy,omitempty"`
 	Accounts []Account `yaml:"accounts,required" json:"accounts"`
 	Pools    []Pool    `yaml:"pools,required" json:"pools"`
 	Routes   []Route   `yaml:"routes,required" json:"routes"`
-	// Callers bounds what callers of host routes may send.
+	// Callers limits the requests of callers of host routes.
 	Callers CallerLimits `yaml:"callers" json:"callers,omitzero"`
-	// TokensPerSecond is what all engines together make, counting a token read
-	// once and a token written twice; 0 where it isn't known.
+	// TokensPerSecond is the throughput of all engines together, where an input token counts
+	// once and an output token twice; 0 if unknown.
 	TokensPerSecond float64 `yaml:"tokens-per-second" json:"tokens-per-second,omitempty"`
-	// Evacuated names the data halls whose backend servers get nothing new.
+	// Evacuated lists the data halls whose backend servers receive no new requests.
 	Evacuated []string `yaml:"evacuated" json:"evacuated,omitempty"`
 }
 
-// CallerLimits bounds what a caller may send and how long it may take; 0 is the
-// default.
+// CallerLimits limits the size of a caller's requests and the time to receive them; 0 selects
+// the default.
 type CallerLimits struct {
 	HeaderBytes   int           `yaml:"header-bytes" json:"header-bytes,omitempty"`
 	BodyBytes     int           `yaml:"body-bytes" json:"body-bytes,omitempty"`
@@ -44,20 +44,20 @@
 // Account is a client account.
 type Account struct {
 	Name   string   `yaml:"name,required" json:"name"`
-	Weight float64  `yaml:"weight" json:"weight,omitempty"` // 1 where not given
-	Keys   []string `yaml:"keys,required" json:"keys"`      // sha256:HEX of each key
+	Weight float64  `yaml:"weight" json:"weight,omitempty"` // default 1
+	Keys   []string `yaml:"keys,required" json:"keys"`      // as sha256:HEX
 	Limits Limits   `yaml:"limits" json:"limits,omitzero"`
-	// Priority goes before that of the routes; 0 is the highest.
+	// Priority takes precedence over the priority of the routes; 0 is the highest.
 	Priority int `yaml:"priority" json:"priority,omitempty"`
 }
 
-// Limits are an account's limits; 0 is none.
+// Limits are an account's limits; 0 means no limit.
 type Limits struct {
-	// Concurrent is the number of requests running over the fleet.
+	// Concurrent is the maximum number of running requests in the fleet.
 	Concurrent int `yaml:"concurrent" json:"concurrent,omitempty"`
-	// Queue is the number of requests waiting at one router.
+	// Queue is the maximum number of requests waiting at one router.
 	Queue int `yaml:"queue" json:"queue,omitempty"`
-	// RequestsPerMinute is the rate of requests at one router.
+	// RequestsPerMinute is the maximum rate of requests at one router.
 	RequestsPerMinute float64 `yaml:"requests-per-minute" json:"requests-per-minute,omitempty"`
 }
 
@@ -67,28 +67,28 @@
 	KindService = "service"
 )
 
-// Pool is a set of backend servers that can stand in for one another.
+// Pool is a set of interchangeable backend servers.
 type Pool struct {
 	Name string `yaml:"name,required" json:"name"`
 	Kind string `yaml:"kind,required" json:"kind"`
-	// ExpectedOutput is the output expected of a request until some have
-	// finished, in tokens.
+	// ExpectedOutput is the expected output of a request, in tokens, until some requests
+	// have finished.
 	ExpectedOutput float64 `yaml:"expected-output" json:"expected-output,omitempty"`
-	// CallCost is what one call of a service counts for, in tokens.
+	// CallCost is the cost of one call of a service, in tokens.
 	CallCost float64 `yaml:"call-cost" json:"call-cost,omitempty"`
-	// Discovered tells that the backend servers announce themselves and aren't
+	// Discovered reports whether the backend servers register themselves instead of being
 	// listed here.
 	Discovered bool `yaml:"discovered" json:"discovered,omitempty"`
-	// MemoryTokens is what an engine keeps of prompts and answers, in tokens.
+	// MemoryTokens is the size of an engine's cache of prompts and answers, in tokens.
 	MemoryTokens int `yaml:"memory-tokens" json:"memory-tokens,omitempty"`
-	// CopyRate is how many tokens a second one engine copies of what another
-	// keeps, 0 where they can't.
+	// CopyRate is the rate, in tokens per second, at which an engine copies from the cache
+	// of another one; 0 if it can't.
 	CopyRate float64 `yaml:"copy-rate" json:"copy-rate,omitempty"`
-	// Connections is how many connections a backend server takes from all
-	// routers together; 0 where it isn't known.
+	// Connections is the maximum number of connections that a backend server accepts from all
+	// routers together; 0 if unknown.
 	Connections int `yaml:"connections" json:"connections,omitempty"`
-	// ColdRate is how many requests a second a backend server takes while it is slow from
-	// its start, 0 for no limit; ColdFor is how long after its start it is slow.
+	// ColdRate is the maximum number of requests per second sent to a backend server that is
+	// still slow after its start, 0 for no limit; ColdFor is how long after its start it is slow.
 	ColdRate float64       `yaml:"cold-rate" json:"cold-rate,omitempty"`
 	ColdFor  time.Duration `yaml:"cold-for" json:"cold-for,omitempty"`
 	Backends []Backend     `yaml:"backends" json:"backends,omitempty"`
@@ -99,67 +99,67 @@
 	Name     string `yaml:"name,required" json:"name"`
 	Address  string `yaml:"address,required" json:"address"` // IP and port
 	DataHall string `yaml:"data-hall,required" json:"data-hall"`
-	Slots    int    `yaml:"slots,required" json:"slots"` // requests it runs at once
+	Slots    int    `yaml:"slots,required" json:"slots"` // concurrent requests
 }
 
-// The ways to treat keyed requests while the store is out.
+// The ways to handle keyed requests while the store is unavailable.
 const (
 	ClaimsRequired   = "required"
 	ClaimsBestEffort = "best-effort"
 )
 
-// Route says which requests go to which pool, and how.
+// Route assigns requests to pools and sets how they are handled.
 type Route struct {
 	Name string `yaml:"name,required" json:"name"`
-	// Model or Service is what the request names, or Host where the request is
-	// passed through unchanged; exactly one is given.
+	// Exactly one of Model, Service and Host is set. Model and Service match the name given in a
+	// request; requests that match Host are passed through unchanged.
 	Model   string `yaml:"model" json:"model,omitempty"`
 	Service string `yaml:"service" json:"service,omitempty"`
 	Host    string `yaml:"host" json:"host,omitempty"`
-	// Path is the beginning of the service's or host's paths that the route takes.
+	// Path is the prefix of the paths of the service or host that the route matches.
 	Path string `yaml:"path" json:"path,omitempty"`
-	// Pool serves the route. Of a host route, Split may divide it instead.
+	// Pool serves the route. A host route may have Split instead, which divides it between pools.
 	Pool  string  `yaml:"pool" json:"pool,omitempty"`
 	Split []Share `yaml:"split" json:"split,omitempty"`
-	Class string  `yaml:"class" json:"class,omitempty"` // interactive where not given
-	// Repeatable tells whether a request may be sent again after it may have run.
+	Class string  `yaml:"class" json:"class,omitempty"` // default interactive
+	// Repeatable reports whether a request that may have been executed may be sent again.
 	Repeatable bool `yaml:"repeatable" json:"repeatable,omitempty"`
-	// Claims tells what happens to a keyed request while the store is out.
+	// Claims sets how keyed requests are handled while the store is unavailable.
 	Claims string `yaml:"claims" json:"claims,omitempty"`
-	// Wait is how long a request may wait where its caller doesn't say.
+	// Wait is the maximum wait of a request whose caller gives none.
 	Wait time.Duration `yaml:"wait" json:"wait,omitempty"`
-	// Through holds what only host routes have.
+	// Through holds the options of host routes.
 	Through Through `yaml:"through" json:"through,omitzero"`
 }
 
-// Share is the part of a route's requests that a pool serves.
+// Share is the share of a route's requests that a pool serves.
 type Share struct {
 	Pool   string  `yaml:"pool,required" json:"pool"`
 	Weight float64 `yaml:"weight,required" json:"weight"`
 }
 
-// Through says how the requests of a host route are passed through.
+// Through holds the options for passing through the requests of a host route.
 type Through struct {
 	// Public requests need no key.
 	Public bool `yaml:"public" json:"public,omitempty"`
-	// Streaming answers are events with rising identifiers; Resumable ones may
-	// be continued at another backend server.
+	// Streaming answers are events with ascending identifiers; Resumable ones may be
+	// continued by another backend server.
 	Streaming bool `yaml:"streaming" json:"streaming,omitempty"`
 	Resumable bool `yaml:"resumable" json:"resumable,omitempty"`
-	// Attempts is how many backend servers a request may be sent to.
+	// Attempts is the maximum number of backend servers a request is sent to.
 	Attempts int `yaml:"attempts" json:"attempts,omitempty"`
-	// Timeout is how long a request may take in all.
+	// Timeout is the maximum total duration of a request.
 	Timeout time.Duration `yaml:"timeout" json:"timeout,omitempty"`
-	// Objective is the time in which an answer should come, or begin where it
-	// is streamed; PauseObjective is the longest pause between its events.
+	// Objective is the target time until an answer is complete, or until its first event if it
+	// is streamed; PauseObjective is the target maximum pause between its events.
 	Objective      time.Duration `yaml:"objective" json:"objective,omitempty"`
 	PauseObjective time.Duration `yaml:"pause-objective" json:"pause-objective,omitempty"`
-	// Priority is the route's rank; 0 is the highest.
+	// Priority is the route's priority; 0 is the highest.
 	Priority int `yaml:"priority" json:"priority,omitempty"`
 }
 
-// Read reads a file and returns it with the places of its values and what is
-// wrong with its form.
+// Read parses a file and returns it with the positions of its values and the findings
+// on its syntax and structure.
 func Read(name string, data []byte) (*File, strictyaml.Places, finding.List) {
 	f := &File{}
 	places, findings := strictyaml.Read(name, data, f)
--- a/config/diff.go
+++ b/config/diff.go
@@ -9,14 +9,14 @@
 
 // Change is one difference between two files.
 type Change struct {
-	Kind string `json:"kind"` // what the thing is
+	Kind string `json:"kind"` // of the changed object
 	Name string `json:"name"`
 	Op   string `json:"op"` // added, removed or changed
 	From string `json:"from,omitempty"`
 	To   string `json:"to,omitempty"`
 }
 
-// String returns the change as a line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	switch c.Op {
 	case opAdded:
@@ -33,11 +33,11 @@
 	opChanged = "changed"
 )
 
-type thing struct{ kind, name string }
+type objectKey struct{ kind, name string }
 
-// Diff returns what has to change in one file to make the other; from may be nil.
+// Diff returns the changes that turn one file into another; from may be nil.
 func Diff(from, to *File) []Change {
-	before, after := things(from), things(to)
+	before, after := objectsOf(from), objectsOf(to)
 	var out []Change
 	for t, text := range after {
 		old, ok := before[t]
@@ -59,9 +59,9 @@
 	return out
 }
 
-// things returns each named thing of a file as a line of JSON.
-func things(f *File) map[thing]string {
-	out := map[thing]string{}
+// objectsOf returns the named objects of a file, each as a line of JSON.
+func objectsOf(f *File) map[objectKey]string {
+	out := map[objectKey]string{}
 	if f == nil {
 		return out
 	}
@@ -70,7 +70,7 @@
 		if err != nil {
 			text = []byte(err.Error())
 		}
-		out[thing{kind, name}] = string(text)
+		out[objectKey{kind, name}] = string(text)
 	}
 	add("policy", "in force", f.Policy)
 	for _, a := range f.Accounts {
--- a/config/document.go
+++ b/config/document.go
@@ -10,26 +10,25 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// Corrupt is the error for a stored document that can't be read.
+// Corrupt is the error for a stored document that can't be decoded.
 var Corrupt = errorx.NewNamespace("config").NewType("corrupt")
 
-// appliesKept is how many applies a document names.
-const appliesKept = 32
+// maxApplyIDs is the number of apply identifiers that a document stores.
+const maxApplyIDs = 32
 
-// NewDocument returns the generation that follows a document (nil for none)
-// with a new text.
+// NewDocument returns the next generation after a document (nil for none) with a new text.
 func NewDocument(before *wire.Document, applyID string, text []byte) (*wire.Document, error) {
 	out, err := WrapDocument(before.GetGeneration()+1, text)
 	if err != nil {
 		return nil, err
 	}
 	applies := append(before.GetApplies(), applyID)
-	applies = applies[max(0, len(applies)-appliesKept):]
+	applies = applies[max(0, len(applies)-maxApplyIDs):]
 	out.Applies = applies
 	return out, nil
 }
 
-// WrapDocument returns a generation with a text.
+// WrapDocument returns a document with a generation and a text, which it compresses.
 func WrapDocument(generation uint64, text []byte) (*wire.Document, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -42,7 +41,7 @@
 	return &wire.Document{Generation: generation, Text: b.Bytes()}, nil
 }
 
-// DocumentText returns a document's text.
+// DocumentText returns the decompressed text of a document.
 func DocumentText(d *wire.Document) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(d.GetText()))
 	if err != nil {
@@ -50,7 +49,7 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(r, MaxSize+1))
 	if err != nil {
-		return nil, Corrupt.Wrap(err, "generation %d is cut off", d.GetGeneration())
+		return nil, Corrupt.Wrap(err, "generation %d is truncated", d.GetGeneration())
 	}
 	if len(text) > MaxSize {
 		return nil, Corrupt.New("generation %d is larger than %d bytes", d.GetGeneration(), MaxSize)
--- a/config/evacuate.go
+++ b/config/evacuate.go
@@ -8,18 +8,18 @@
 	"github.com/joomcode/errorx"
 )
 
-// Uneditable is the error for a file that can't be changed by a program.
+// Uneditable is the error for a file that can't be edited automatically.
 var Uneditable = errorx.NewNamespace("config").NewType("uneditable")
 
-// evacuatedField is the field of a file that names the evacuated data halls.
+// evacuatedField is the field of a file that lists the evacuated data halls.
 const evacuatedField = "evacuated"
 
-// SetEvacuated returns a file's text with other evacuated data halls; all else, comments
-// included, stays as it is.
+// SetEvacuated returns a file's text with its evacuated data halls replaced. The rest of the
+// text, including comments, is unchanged.
 func SetEvacuated(text []byte, halls []string) ([]byte, error) {
 	value, err := yaml.MarshalWithOptions(halls, yaml.Flow(true))
 	if err != nil {
-		return nil, Uneditable.Wrap(err, "the data halls can't be written")
+		return nil, Uneditable.Wrap(err, "the data halls can't be encoded")
 	}
 	f, _, findings := Read("", text)
 	if findings.Failed() {
@@ -34,10 +34,10 @@
 	}
 	path, err := yaml.PathString("$." + evacuatedField)
 	if err != nil {
-		return nil, Uneditable.Wrap(err, "the field can't be found")
+		return nil, Uneditable.Wrap(err, "the path of the field is invalid")
 	}
 	if err := path.ReplaceWithReader(tree, strings.NewReader(string(value))); err != nil {
-		return nil, Uneditable.Wrap(err, "the field can't be changed")
+		return nil, Uneditable.Wrap(err, "the field can't be replaced")
 	}
 	return []byte(strings.TrimRight(tree.String(), "\n") + "\n"), nil
 }
--- a/config/evacuate_test.go
+++ b/config/evacuate_test.go
@@ -13,7 +13,7 @@
 routes: []
 `
 
-// TestSetEvacuated evacuates data halls in files with and without the field, in both forms.
+// TestSetEvacuated sets evacuated data halls in files with and without the field, in flow and block style.
 func TestSetEvacuated(t *testing.T) {
 	for _, before := range []string{
 		plainFile,
@@ -32,7 +32,7 @@
 			for i := range halls {
 				is.Equal(f.Evacuated[i], halls[i])
 			}
-			is.True(strings.Contains(string(text), "# of the form")) // comments stay
+			is.True(strings.Contains(string(text), "# of the form")) // comments are preserved
 			is.Equal(strings.Count(string(text), evacuatedField+":"), 1)
 		}
 	}
