--- a/blame/blame.go
+++ b/blame/blame.go
@@ -1,8 +1,7 @@
-// Package blame follows one request of a caller in what concerns backend servers that end under it: it
-// finds out whether one has, tells the decisions, and names the request where something is held against its account.
+// Package blame records which requests were running on backend servers that ended. It checks whether a backend
+// server has ended, reports that to the scheduler, and computes a request's fingerprint if its account has suspects.
 //
-// Both interfaces to callers use it. What is held against a request, and when it is held back, is decided by
-// package core/suspect.
+// Both caller interfaces use it. Package core/suspect decides which requests are suspect and when they are held back.
 package blame
 
 import (
@@ -15,85 +14,85 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Decisions are told of ends, and tell which accounts have any.
+// Decisions receives the events of this package and reports which accounts have suspect requests.
 type Decisions interface {
 	Suspects(model.AccountID) bool
 	Tell(core.Event)
 }
 
-// Servers tell whether a backend server has ended, by its IP and port.
+// Servers reports whether the backend server at an IP and port has ended.
 type Servers interface {
 	Ended(address string) bool
 }
 
-// Witness is what a router's requests are followed with.
+// Witness contains the dependencies for tracking a router's requests.
 type Witness struct {
 	Decisions    Decisions
 	Servers      Servers
 	Fingerprints fingerprint.Maker
-	Ended        prometheus.Counter // answers that broke off as their backend server ended
+	Ended        prometheus.Counter // answers interrupted because their backend server ended
 }
 
-// Case is one request.
+// Case is a tracked request.
 type Case struct {
-	witness Witness
-	account model.AccountID
-	request func() fingerprint.Request
-	print   model.Fingerprint // 0 while nobody has asked for it
+	tracker     Witness
+	account     model.AccountID
+	request     func() fingerprint.Request
+	fingerprint model.Fingerprint // 0 until it is computed
 }
 
-// Follow begins a request's case. What stays the same of it is asked for where it matters.
+// Follow starts tracking a request. It calls request only if the fingerprint is needed.
 func (w Witness) Follow(account model.AccountID, request func() fingerprint.Request) *Case {
-	return &Case{witness: w, account: account, request: request}
+	return &Case{tracker: w, account: account, request: request}
 }
 
-// Fingerprint returns the request's.
+// Fingerprint returns the request's fingerprint.
 func (c *Case) Fingerprint() model.Fingerprint {
-	if c.print == 0 {
-		c.print = c.witness.Fingerprints.Of(c.request())
+	if c.fingerprint == 0 {
+		c.fingerprint = c.tracker.Fingerprints.Of(c.request())
 	}
-	return c.print
+	return c.fingerprint
 }
 
-// Suspect returns the request's fingerprint where something may be held against it, else 0: all others
-// needn't be known.
+// Suspect returns the request's fingerprint if its account has suspect requests, and 0 otherwise, as the
+// fingerprint isn't needed then.
 func (c *Case) Suspect() model.Fingerprint {
-	if !c.witness.Decisions.Suspects(c.account) {
+	if !c.tracker.Decisions.Suspects(c.account) {
 		return 0
 	}
 	return c.Fingerprint()
 }
 
-// Send is one send of the request, whose answer broke off.
+// Send is an attempt to send the request whose answer was interrupted.
 type Send struct {
 	Backend model.BackendID
 	Address string // IP and port
 	At      time.Time
-	Begun   bool // part of the answer had come
+	Begun   bool // part of the answer was received
 }
 
-// BrokeOff holds a backend server's end against the request, and tells whether it has ended: a connection
-// that broke off by itself is nobody's fault.
+// BrokeOff reports whether the backend server has ended, and if so records that against the request. A
+// connection that was lost for another reason is not recorded.
 //
-// A request that ends each server that begins to run it comes again under other identifiers and at
-// other routers; without account of it each send is the first. Of two such requests that came every
-// 350 ms for 15 s, 55 and 28 runs began, 39 and 22 of them later than three seconds after the third; 4 and 4 do now, 1
-// and 1 of them as late (TestPlatformRequestsThatEndServersAreHeldBack).
+// A request that ends every backend server that runs it is repeated under other identifiers and at other routers,
+// where each attempt looks like the first. Of two such requests, repeated every 350 ms for 15 s, 55 and 28 runs
+// began, 39 and 22 of them more than three seconds after the third. With this record, 4 and 4 begin, 1 and 1 of them
+// as late (TestPlatformRequestsThatEndServersAreHeldBack).
 func (c *Case) BrokeOff(s Send) bool {
 	ran := time.Since(s.At)
-	if !c.witness.Servers.Ended(s.Address) {
+	if !c.tracker.Servers.Ended(s.Address) {
 		return false
 	}
-	c.witness.Ended.Inc()
-	c.witness.Decisions.Tell(core.ServerEnded{
+	c.tracker.Ended.Inc()
+	c.tracker.Decisions.Tell(core.ServerEnded{
 		Fingerprint: c.Fingerprint(), Account: c.account, Backend: s.Backend, Ran: ran, Begun: s.Begun,
 	})
 	return true
 }
 
-// Answered notes that the request got a whole answer, where something may be held against it.
+// Answered reports to the scheduler that the request got a complete answer, if its account has suspect requests.
 func (c *Case) Answered() {
 	if f := c.Suspect(); f != 0 {
-		c.witness.Decisions.Tell(core.Answered{Fingerprint: f})
+		c.tracker.Decisions.Tell(core.Answered{Fingerprint: f})
 	}
 }
--- a/config/compile.go
+++ b/config/compile.go
@@ -62,17 +62,17 @@
 // PoolShare is the fraction of a route's requests that a pool serves, from 0 to 1.
 type PoolShare struct {
 	Pool model.PoolID
-	Part float64
+	Fraction float64
 }
 
 // PoolFor returns the pool for a request. The argument is a uniformly distributed
 // number from 0 to 1.
 func (r *CompiledRoute) PoolFor(draw float64) model.PoolID {
 	for _, share := range r.Split {
-		if draw < share.Part {
+		if draw < share.Fraction {
 			return share.Pool
 		}
-		draw -= share.Part
+		draw -= share.Fraction
 	}
 	return r.Pool
 }
@@ -259,7 +259,7 @@
 // splitFractions returns the fractions of a route's pools, which add up to 1.
 func splitFractions(r Route) []PoolShare {
 	if len(r.Split) == 0 {
-		return []PoolShare{{Pool: model.Pool(r.Pool), Part: 1}}
+		return []PoolShare{{Pool: model.Pool(r.Pool), Fraction: 1}}
 	}
 	sum := 0.0
 	for _, share := range r.Split {
@@ -268,7 +268,7 @@
 	var out []PoolShare
 	for _, share := range r.Split {
 		if share.Weight > 0 {
-			out = append(out, PoolShare{Pool: model.Pool(share.Pool), Part: share.Weight / sum})
+			out = append(out, PoolShare{Pool: model.Pool(share.Pool), Fraction: share.Weight / sum})
 		}
 	}
 	return out
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -69,11 +69,11 @@
 	if e.request != "" {
 		return e.printRequest(cmd.OutOrStdout(), &log)
 	}
-	log.Keep(e.account, e.route)
+	log.Filter(e.account, e.route)
 	e.printRefusals(cmd.OutOrStdout(), log.Refusals())
 	printFirstParts(cmd.OutOrStdout(), log.FirstParts())
-	printBroken(cmd.OutOrStdout(), log.Broken())
-	if a := log.LoadsAges(); a.Decisions > 0 {
+	printBroken(cmd.OutOrStdout(), log.BrokenAnswers())
+	if a := log.LoadAges(); a.Decisions > 0 {
 		fmt.Fprintf(cmd.OutOrStdout(), "\nage of the loads at %d decisions: %.0f ms in the median, %.0f at the 99th percentile\n",
 			a.Decisions, a.P50, a.P99)
 	}
@@ -83,7 +83,7 @@
 	if e.plot == "" {
 		return nil
 	}
-	if err := explain.WritePlot(e.plot, log.Moments()); err != nil {
+	if err := explain.WritePlot(e.plot, log.Intervals()); err != nil {
 		return fmt.Errorf("--plot: %w", err)
 	}
 	return nil
@@ -115,13 +115,13 @@
 }
 
 func (e *explainOptions) printRequest(w io.Writer, log *explain.Log) error {
-	lines := log.OfRequest()
+	lines := log.RequestLines()
 	if len(lines) == 0 {
 		return fmt.Errorf("--request: no line is on %q", e.request)
 	}
 	for _, line := range lines {
 		fmt.Fprintf(w, "%s\n", line.Text)
-		if words := line.Words(); words != "" {
+		if words := line.Explanation(); words != "" {
 			fmt.Fprintf(w, "  %s\n", words)
 		}
 	}
@@ -160,7 +160,7 @@
 }
 
 // printBroken prints the answers that broke off towards their callers, where there are any.
-func printBroken(w io.Writer, all []explain.Broken) {
+func printBroken(w io.Writer, all []explain.BrokenAnswers) {
 	if len(all) == 0 {
 		return
 	}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -109,7 +109,7 @@
 		return Settings{}, err
 	}
 	s := Settings{
-		Interface:     r.Word("interface", interfaceOwn, interfacePlatform),
+		Interface:     r.Choice("interface", interfaceOwn, interfacePlatform),
 		Name:          r.Name("name"),
 		DataHall:      r.Name("data-hall"),
 		CallerListen:  r.Address("caller-listen"),
@@ -117,24 +117,24 @@
 		PeerListen:    r.Address("peer-listen"),
 		Store:         r.Address("store"),
 		StoreWrites:   r.Number("store-writes", 1),
-		Policy:        r.Word("policy", policyNames()...),
+		Policy:        r.Choice("policy", policyNames()...),
 		Drain:         time.Duration(r.Number("drain-seconds", 1) * float64(time.Second)),
 		CallerStall:   time.Duration(r.Number("caller-stall-seconds", 0.1) * float64(time.Second)),
 		RetryRatio:    r.Number("retry-ratio", 0),
 		RetrySlack:    r.Number("retry-slack", 0),
 		ColdOvershoot: r.Number("cold-overshoot", 0),
 		ColdSlack:     r.Number("cold-slack", 0),
-		HallHomes:     r.Word("prompt-homes", homesFleet, homesHall) == homesHall,
+		HallHomes:     r.Choice("prompt-homes", homesFleet, homesHall) == homesHall,
 		LoadsBytes:    r.Number("loads-bytes", 1000),
 		MemoryMB:      r.Number("memory-mb", 32),
 		Files:         r.Number("files", 512),
 		Processor:     r.Number("processor", 0.01),
-		Profiles:      r.Word("profiles", wordOff, wordOn) == wordOn,
-		LogLevel:      r.Word("log-level", "debug", "info", "warn", "error"),
-		LogFormat:     r.Word("log-format", "json", "console"),
+		Profiles:      r.Choice("profiles", wordOff, wordOn) == wordOn,
+		LogLevel:      r.Choice("log-level", "debug", "info", "warn", "error"),
+		LogFormat:     r.Choice("log-format", "json", "console"),
 		TraceEndpoint: r.Text("trace-endpoint"),
 	}
-	receiver := r.Word("peer-receiver", receiverAuto, receiverEventLoop, receiverRuntime)
+	receiver := r.Choice("peer-receiver", receiverAuto, receiverEventLoop, receiverRuntime)
 	s.EventLoop = receiver == receiverEventLoop || receiver == receiverAuto && runtime.NumCPU() > 1
 	if s.Interface == interfaceOwn {
 		s.VMList = r.Address("vm-list")
--- a/explain/broken.go
+++ b/explain/broken.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// causes are the causes of answers that broke off, in words.
-var causes = map[string]string{
+// causeTexts are the texts for the causes of interrupted answers.
+var causeTexts = map[string]string{
 	"caller-stalled": "its caller took nothing of it for too long",
 	"caller-left":    "its caller ended the connection",
 	"backend":        "its backend server broke off",
 	"time-over":      "the request's time was over",
 }
 
-// Words says of an answer that broke off what became of it and why, "" for any other line.
-func (l Line) Words() string {
+// Explanation returns a text that describes why an answer was interrupted, and "" for any other line.
+func (l Line) Explanation() string {
 	if l.Outcome != brokeOff {
 		return ""
 	}
-	why, known := causes[l.Cause]
+	why, known := causeTexts[l.Cause]
 	if !known {
-		return "" // of a router that doesn't tell
+		return "" // the router's version doesn't log the cause
 	}
 	if l.Again {
 		return "the answer broke off and was asked for again: " + why
@@ -32,24 +32,25 @@
 	}
 	return fmt.Sprintf("the answer broke off: %s. %d bytes of its body were read, the caller's connection took %d with the head; "+
 		"the last write lasted %s, and the connection had rested %s before the request",
-		why, l.AnswerBytes, l.TakenBytes, inSeconds(l.WriteMS), inSeconds(l.RestedMS))
+		why, l.AnswerBytes, l.TakenBytes, formatMS(l.WriteMS), formatMS(l.RestedMS))
 }
 
-// inSeconds writes a time in milliseconds for people.
-func inSeconds(ms float64) string {
+// formatMS formats a time in milliseconds for display.
+func formatMS(ms float64) string {
 	return time.Duration(ms * float64(time.Millisecond)).Round(time.Millisecond).String()
 }
 
-// Broken are the answers of a kind that broke off towards their callers.
-type Broken struct {
+// BrokenAnswers is a group of interrupted answers with the same route, account and cause.
+type BrokenAnswers struct {
 	Route, Account, Cause string
 	Count                 int
-	TakenBytes            Quantiles // by the callers' connections
-	RestedMS              Quantiles // of the connections before the requests, in milliseconds
+	TakenBytes            Quantiles // accepted by the callers' connections
+	RestedMS              Quantiles // idle time of the connections before the requests, in milliseconds
 }
 
-// Broken counts the answers that had begun and broke off, by route, account and cause, the most first.
-func (l *Log) Broken() []Broken {
+// BrokenAnswers counts the answers that were interrupted after their beginning, by route, account and cause, in
+// descending order of the counts.
+func (l *Log) BrokenAnswers() []BrokenAnswers {
 	type key struct{ route, account, cause string }
 	type sample struct{ taken, rested []float64 }
 	samples := map[key]*sample{}
@@ -64,14 +65,14 @@
 		samples[k].taken = append(samples[k].taken, float64(line.TakenBytes))
 		samples[k].rested = append(samples[k].rested, line.RestedMS)
 	}
-	var out []Broken
+	var out []BrokenAnswers
 	for k, s := range samples {
-		out = append(out, Broken{
+		out = append(out, BrokenAnswers{
 			Route: k.route, Account: k.account, Cause: k.cause, Count: len(s.taken),
-			TakenBytes: quantilesOf(s.taken), RestedMS: quantilesOf(s.rested),
+			TakenBytes: quantiles(s.taken), RestedMS: quantiles(s.rested),
 		})
 	}
-	slices.SortFunc(out, func(a, b Broken) int {
+	slices.SortFunc(out, func(a, b BrokenAnswers) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Route, b.Route), cmp.Compare(a.Account, b.Account), cmp.Compare(a.Cause, b.Cause))
 	})
 	return out
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,12 +1,12 @@
-// Package explain reads the logs of routers and says what became of requests, and why: for
-// the engineer on call, who has nothing else.
+// Package explain analyzes the logs of routers. It shows the outcome of requests and its reason to
+// an on-call engineer who has only the logs.
 //
-// Logs are read as a stream, compressed by gzip or not. Of a line only the figures are kept,
-// some 300 bytes, and its text only where one request is asked for.
+// Logs are read as a stream, compressed with gzip or not. Only the values of a line are kept,
+// some 300 bytes, and its text only if the lines of a single request are selected.
 //
-// A line counts from its first brace on, so that logs that something else has prefixed, with
-// the name of a machine for instance, can be read as they are. Lines of other programs are
-// passed over; that no line is a router's is an error.
+// A line is parsed from its first brace, so that logs with a prefix such as the name of a VM
+// can be read unchanged. Lines of other programs are skipped. It is an error if no line is
+// a router's.
 package explain
 
 import (
@@ -24,13 +24,13 @@
 // Errors is the namespace of this package's errors.
 var Errors = errorx.NewNamespace("explain")
 
-// NoLines is the error for logs without a single line of a router on a request.
+// NoLines is the error for logs without any line of a router about a request.
 var NoLines = Errors.NewType("no_lines")
 
-// maxLine is the longest line that is read, in bytes; routers write shorter ones.
+// maxLine is the maximum length of a line in bytes. Routers write shorter lines.
 const maxLine = 1 << 20
 
-// Line is a log line of a router on a request.
+// Line is a log line of a router about a request.
 type Line struct {
 	Router  string    `json:"router"`
 	Request string    `json:"request"`
@@ -39,36 +39,36 @@
 	Outcome string    `json:"outcome"`
 	Time    time.Time `json:"time"`
 
-	// AgeMS is how old the request was, and BegunMS the same when the first part of its
-	// answer came, in milliseconds.
+	// AgeMS is the age of the request, and BegunMS its age when the first part of its
+	// answer was received, in milliseconds.
 	AgeMS   float64 `json:"age_ms"`
 	BegunMS float64 `json:"begun_ms"`
 
-	// What a decision was and what it rested on; see docs/OPERATIONS.md.
+	// A scheduling decision and the values it was based on; see docs/OPERATIONS.md.
 	Backend   string  `json:"backend"`
 	Reason    string  `json:"reason"`
 	DelayMS   float64 `json:"delay_ms"`
 	Backlog   int     `json:"backlog"`
 	OverShare bool    `json:"over_share"`
 	ShareHad  float64 `json:"share_had"`
-	Refused   int     `json:"refused"` // requests that a line stands for
+	Refused   int     `json:"refused"` // number of requests that the line represents
 
-	// Of an answer that broke off; see docs/OPERATIONS.md.
+	// Details of an interrupted answer; see docs/OPERATIONS.md.
 	Cause       string  `json:"cause"`
 	Begun       bool    `json:"begun"`
-	Again       bool    `json:"again"` // it was asked for again
+	Again       bool    `json:"again"` // the request was sent again
 	AnswerBytes int     `json:"answer_bytes"`
 	TakenBytes  int     `json:"taken_bytes"`
 	WriteMS     float64 `json:"write_ms"`
 	RestedMS    float64 `json:"rested_ms"`
 
-	// LoadsAgeMS is how old the oldest word of another router was, in milliseconds.
+	// LoadsAgeMS is the age of the oldest load report of another router, in milliseconds.
 	LoadsAgeMS float64 `json:"loads_age_ms"`
 
-	Text []byte `json:"-"` // as it was written, where its request is asked for
+	Text []byte `json:"-"` // the text of the line, if a single request is selected
 }
 
-// The outcomes that are counted.
+// The outcomes that are evaluated.
 const (
 	dispatched = "dispatched"
 	refused    = "refused"
@@ -77,21 +77,21 @@
 	brokeOff   = "broke-off"
 )
 
-// Log is what was read.
+// Log contains the lines read from logs.
 type Log struct {
-	// Request is the id of the only request whose lines are kept, "" for all.
+	// Request selects the lines of the request with this id, "" for all requests.
 	Request string
 
-	Lines   []Line
-	Dropped int // lines that routers had no time to write
-	Foreign int // lines of others
+	Lines        []Line
+	Dropped      int // lines that routers dropped instead of writing
+	Unrecognized int // lines that aren't in the format of a router
 
-	others int // lines on requests that aren't asked for
+	otherRequests int // lines about requests that aren't selected
 }
 
-// Read adds the lines of a log.
+// Read adds the lines of a log, which may be compressed with gzip.
 func (l *Log) Read(in io.Reader) error {
-	plain, err := decompressed(in)
+	plain, err := decompress(in)
 	if err != nil {
 		return errorx.Decorate(err, "reading a compressed log")
 	}
@@ -106,23 +106,23 @@
 	return nil
 }
 
-// decompressed returns what a log says, which may be compressed by gzip.
-func decompressed(in io.Reader) (io.Reader, error) {
+// decompress returns a reader of a log's text, which may be compressed with gzip.
+func decompress(in io.Reader) (io.Reader, error) {
 	buffered := bufio.NewReader(in)
-	head, err := buffered.Peek(len(gzipHead))
-	if err != nil || !bytes.Equal(head, gzipHead) {
-		return buffered, nil // a log shorter than that is no compressed one
+	head, err := buffered.Peek(len(gzipMagic))
+	if err != nil || !bytes.Equal(head, gzipMagic) {
+		return buffered, nil // a log that is shorter can't be compressed
 	}
 	return gzip.NewReader(buffered)
 }
 
-// gzipHead begins a file that is compressed by gzip (RFC 1952, section 2.3.1).
-var gzipHead = []byte{0x1f, 0x8b}
+// gzipMagic is the magic number of gzip files (RFC 1952, section 2.3.1).
+var gzipMagic = []byte{0x1f, 0x8b}
 
 func (l *Log) add(text []byte) {
 	from := bytes.IndexByte(text, '{')
 	if from < 0 {
-		l.Foreign++
+		l.Unrecognized++
 		return
 	}
 	var line struct {
@@ -130,7 +130,7 @@
 		Dropped int `json:"dropped"`
 	}
 	if json.Unmarshal(text[from:], &line) != nil {
-		l.Foreign++
+		l.Unrecognized++
 		return
 	}
 	l.Dropped += line.Dropped
@@ -139,7 +139,7 @@
 	}
 	if l.Request != "" {
 		if line.Request != l.Request {
-			l.others++
+			l.otherRequests++
 			return
 		}
 		line.Text = slices.Clone(text[from:])
@@ -147,24 +147,24 @@
 	l.Lines = append(l.Lines, line.Line)
 }
 
-// Check tells whether anything was read that can be explained.
+// Check returns an error if no line about a request was read.
 func (l *Log) Check() error {
-	if len(l.Lines)+l.others == 0 {
-		return NoLines.New("none of %d lines is a router's on a request", l.Foreign)
+	if len(l.Lines)+l.otherRequests == 0 {
+		return NoLines.New("none of %d lines is a router's log line about a request", l.Unrecognized)
 	}
 	return nil
 }
 
-// OfRequest returns the lines on the request that was asked for, in the order in which they
-// were written. A request that was refused and came back has another id.
-func (l *Log) OfRequest() []Line {
+// RequestLines returns the lines about the selected request, sorted by time. A request that
+// was refused and sent again by its caller has another id.
+func (l *Log) RequestLines() []Line {
 	out := slices.Clone(l.Lines)
 	slices.SortStableFunc(out, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	return out
 }
 
-// Keep leaves only the lines on an account and a route; an empty name stands for all.
-func (l *Log) Keep(account, route string) {
+// Filter keeps only the lines about an account and a route; an empty name matches all.
+func (l *Log) Filter(account, route string) {
 	l.Lines = slices.DeleteFunc(l.Lines, func(line Line) bool {
 		return account != "" && line.Account != account || route != "" && line.Route != route
 	})
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// at returns the time of a line so many milliseconds into the log.
+// at returns the timestamp of a line ms milliseconds after the start of the log.
 func at(ms int) string {
 	return time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
 }
@@ -33,7 +33,7 @@
 		`"reason":"no-room","over_share":%t,"share_had":%g,"delay_ms":%g,"time":%q}`, request, account, over, had, delay, at(0))
 }
 
-func TestRefusalsAreCountedByStanding(t *testing.T) {
+func TestRefusalsAreCountedByShare(t *testing.T) {
 	is := is.New(t)
 	l := read(t,
 		refusal("1", "league", false, 0.2, 100),
@@ -46,7 +46,7 @@
 		`{"level":"warn","dropped":7}`,
 	)
 	is.NoErr(l.Check())
-	is.Equal(l.Foreign, 1)
+	is.Equal(l.Unrecognized, 1)
 	is.Equal(l.Dropped, 7)
 	got := l.Refusals()
 	is.Equal(len(got), 4)
@@ -56,12 +56,12 @@
 	is.Equal(got[1].Count, 3)
 	is.Equal(got[1].ShareHad.P50, 0.3)
 	is.Equal(got[1].DelayMS, Quantiles{P10: 100, P50: 200, P90: 300})
-	l.Keep("billing", "chat")
+	l.Filter("billing", "chat")
 	is.Equal(len(l.Refusals()), 2)
 }
 
-// TestFirstPartsCountFromTheirLastSend sends one request twice: what was expected of the
-// second send is compared with what came after it.
+// TestFirstPartsCountFromTheirLastSend reads a request that was sent twice. The delay expected for
+// the second attempt is compared with the actual delay after it.
 func TestFirstPartsCountFromTheirLastSend(t *testing.T) {
 	is := is.New(t)
 	dispatch := func(request string, age, delay float64, backlog int) string {
@@ -74,8 +74,8 @@
 		dispatch("1", 10, 100, 100), dispatch("1", 300, 150, 1000), answer("1", 500),
 		dispatch("2", 0, 80, 50_000), answer("2", 70),
 		dispatch("3", 0, 80, 100),                 // not answered
-		dispatch("4", 0, 80, 100), answer("4", 0), // answered whole
-		answer("5", 100), // its dispatch was dropped
+		dispatch("4", 0, 80, 100), answer("4", 0), // answer not streamed
+		answer("5", 100), // its dispatch line was dropped
 	).FirstParts()
 	is.Equal(len(got), 2)
 	is.Equal(got[0].Below, 2000)
@@ -93,18 +93,18 @@
 	text := line("done", 120) + "\n" + line("dispatched", 100) + "\n" + `{"router":"vm-1","request":"b","outcome":"done"}`
 	l := Log{Request: "a"}
 	is.NoErr(l.Read(strings.NewReader(text)))
-	lines := l.OfRequest()
+	lines := l.RequestLines()
 	is.Equal(len(lines), 2)
 	is.Equal(lines[0].Outcome, "dispatched") // 00.1 before 00.12
 	is.Equal(string(lines[1].Text), line("done", 120))
 	none := Log{Request: "c"}
 	is.NoErr(none.Read(strings.NewReader(text)))
-	is.NoErr(none.Check()) // there are lines, on others
-	is.Equal(len(none.OfRequest()), 0)
+	is.NoErr(none.Check()) // there are lines about other requests
+	is.Equal(len(none.RequestLines()), 0)
 }
 
-// TestCompressedLogsAreRead reads the same lines plain and compressed, and a log that is cut
-// off in the middle.
+// TestCompressedLogsAreRead reads a compressed log, a truncated compressed log, and a plain log
+// shorter than the magic number.
 func TestCompressedLogsAreRead(t *testing.T) {
 	is := is.New(t)
 	text := refusal("1", "league", false, 0.2, 100) + "\n" + refusal("2", "league", false, 0.4, 300) + "\n"
@@ -120,11 +120,11 @@
 	is.True(cut.Read(bytes.NewReader(packed.Bytes()[:packed.Len()-12])) != nil)
 	var short Log
 	is.NoErr(short.Read(strings.NewReader("x")))
-	is.Equal(short.Foreign, 1)
+	is.Equal(short.Unrecognized, 1)
 }
 
-// TestMomentsAreBySecond reads two seconds of decisions with one empty between them.
-func TestMomentsAreBySecond(t *testing.T) {
+// TestIntervalsAreBySecond reads two seconds of decisions with an empty second between them.
+func TestIntervalsAreBySecond(t *testing.T) {
 	is := is.New(t)
 	line := func(request, outcome string, ms int, rest string) string {
 		return fmt.Sprintf(`{"router":"vm-1","request":%q,"route":"chat","outcome":%q,"time":%q,%s}`, request, outcome, at(ms), rest)
@@ -136,11 +136,11 @@
 		line("3", "dispatched", 2100, `"delay_ms":80,"age_ms":0,"loads_age_ms":60`),
 		line("4", "crowded", 2200, `"refused":7`),
 	)
-	is.Equal(l.LoadsAges(), Ages{Decisions: 2, P50: 40, P99: 60})
-	got := l.Moments()
+	is.Equal(l.LoadAges(), LoadAges{Decisions: 2, P50: 40, P99: 60})
+	got := l.Intervals()
 	is.Equal(len(got), 2)
 	is.Equal(got[0].Expected.P50, 100.0)
-	is.Equal(got[0].Came.P50, 150.0)
+	is.Equal(got[0].Actual.P50, 150.0)
 	is.Equal(got[0].Refused, 1)
 	is.Equal(got[1].Second, 2)
 	is.Equal(got[1].Refused, 7)
@@ -153,7 +153,7 @@
 	is.True(WritePlot(filepath.Join(t.TempDir(), "plot.unknown"), got) != nil)
 }
 
-func TestLogsOfOthersAreToldSo(t *testing.T) {
+func TestLogsOfOtherProgramsAreRejected(t *testing.T) {
 	is := is.New(t)
 	l := read(t, "hello", `{"msg":"hello"}`, "{broken")
 	is.True(errorx.IsOfType(l.Check(), NoLines))
@@ -161,8 +161,8 @@
 	is.True(long.Read(strings.NewReader(strings.Repeat("x", maxLine+1))) != nil)
 }
 
-// TestBrokenAnswersAreExplained reads answers that broke off: for good, before their first byte, continued by another
-// backend server, and of a router that doesn't tell the cause.
+// TestBrokenAnswersAreExplained reads interrupted answers: after and before their first byte, continued by another
+// backend server, and from a router that doesn't log the cause.
 func TestBrokenAnswersAreExplained(t *testing.T) {
 	is := is.New(t)
 	line := func(request, rest string) string {
@@ -178,7 +178,7 @@
 	)
 	var words []string
 	for _, line := range l.Lines {
-		words = append(words, line.Words())
+		words = append(words, line.Explanation())
 	}
 	is.Equal(words, []string{
 		"the answer broke off: its caller took nothing of it for too long. 300000 bytes of its body were read, the caller's connection took " +
@@ -189,11 +189,11 @@
 		"the answer broke off and was asked for again: its backend server broke off",
 		"", "",
 	})
-	got := l.Broken()
+	got := l.BrokenAnswers()
 	is.Equal(len(got), 2)
-	is.Equal(got[0], Broken{
+	is.Equal(got[0], BrokenAnswers{
 		Route: "look", Account: "league", Cause: "caller-stalled", Count: 2,
 		TakenBytes: Quantiles{P10: 2000, P50: 2000, P90: 4096}, RestedMS: Quantiles{P50: 0, P90: 11000},
 	})
-	is.Equal(got[1].Cause, "") // a router that doesn't tell
+	is.Equal(got[1].Cause, "") // a router that doesn't log the cause
 }
--- a/explain/tables.go
+++ b/explain/tables.go
@@ -10,8 +10,8 @@
 // Quantiles are the 10th, 50th and 90th percentiles.
 type Quantiles struct{ P10, P50, P90 float64 }
 
-// quantilesOf returns those of values, in any order; 0 for none.
-func quantilesOf(values []float64) Quantiles {
+// quantiles returns the quantiles of values, or zeros if there are none. It sorts values.
+func quantiles(values []float64) Quantiles {
 	if len(values) == 0 {
 		return Quantiles{}
 	}
@@ -20,24 +20,24 @@
 	return Quantiles{P10: at(0.1), P50: at(0.5), P90: at(0.9)}
 }
 
-// RefusalKey is what refusals are counted by.
+// RefusalKey is the key that refusals are grouped by.
 type RefusalKey struct {
 	Route, Account, Reason string
-	OverShare              bool // the account was beyond its share
+	OverShare              bool // the account exceeded its share
 }
 
-// Refusals are the refusals of a kind.
+// Refusals is a group of refusals with the same key.
 type Refusals struct {
 	RefusalKey
 	Count    int
-	ShareHad Quantiles // of what the account was owed
-	DelayMS  Quantiles // expected at the best backend server, in milliseconds
+	ShareHad Quantiles // fraction of the account's share that it had received
+	DelayMS  Quantiles // expected delay at the best backend server, in milliseconds
 }
 
-// byHeader stands behind the reason of requests that were refused by their header.
+// byHeader is appended to the reason of requests that were refused by their header.
 const byHeader = ", by header"
 
-// Refusals counts the refusals by route, account, reason and standing, the most first.
+// Refusals counts the refusals by key, in descending order of the counts.
 func (l *Log) Refusals() []Refusals {
 	type sample struct {
 		count         int
@@ -65,7 +65,7 @@
 	}
 	var out []Refusals
 	for key, s := range samples {
-		out = append(out, Refusals{RefusalKey: key, Count: s.count, ShareHad: quantilesOf(s.shares), DelayMS: quantilesOf(s.delay)})
+		out = append(out, Refusals{RefusalKey: key, Count: s.count, ShareHad: quantiles(s.shares), DelayMS: quantiles(s.delay)})
 	}
 	slices.SortFunc(out, func(a, b Refusals) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), compareKeys(a.RefusalKey, b.RefusalKey))
@@ -84,20 +84,21 @@
 		cmp.Compare(a.Reason, b.Reason), cmp.Compare(over(a), over(b)))
 }
 
-// backlogs are the bounds, in tokens, by which answers are put together.
-var backlogs = []int{500, 2000, 5000, 10_000, 20_000}
+// backlogBounds are the upper bounds of the backlog, in tokens, that answers are grouped by.
+var backlogBounds = []int{500, 2000, 5000, 10_000, 20_000}
 
-// FirstParts tells how well the time until the first part of an answer was expected.
+// FirstParts compares the expected with the actual delay until the first part of an answer, for
+// a group of answers.
 type FirstParts struct {
 	Route      string
-	Below      int // tokens of backlog, the bound of these answers; 0 for none
+	Below      int // upper bound of the backlog, in tokens; 0 for none
 	Answers    int
 	ExpectedMS Quantiles
-	LateMS     Quantiles // how much later than expected it came, in milliseconds
+	LateMS     Quantiles // actual minus expected delay, in milliseconds
 }
 
-// FirstParts compares what was expected with what came, by route and backlog. Only answers
-// whose parts came one by one tell, and of requests sent several times the last send.
+// FirstParts compares the expected with the actual delays, by route and backlog. It considers only
+// streamed answers, and only the last attempt of requests that were sent several times.
 func (l *Log) FirstParts() []FirstParts {
 	type key struct {
 		route string
@@ -114,7 +115,7 @@
 		if line.Outcome != done || line.BegunMS <= 0 || !sent || send.DelayMS <= 0 {
 			continue
 		}
-		k := key{send.Route, boundOf(send.Backlog)}
+		k := key{send.Route, backlogBound(send.Backlog)}
 		if samples[k] == nil {
 			samples[k] = &sample{}
 		}
@@ -126,18 +127,18 @@
 	for k, s := range samples {
 		out = append(out, FirstParts{
 			Route: k.route, Below: k.below, Answers: len(s.late),
-			ExpectedMS: quantilesOf(s.expected), LateMS: quantilesOf(s.late),
+			ExpectedMS: quantiles(s.expected), LateMS: quantiles(s.late),
 		})
 	}
 	slices.SortFunc(out, func(a, b FirstParts) int {
-		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(order(a.Below), order(b.Below)))
+		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(sortKey(a.Below), sortKey(b.Below)))
 	})
 	return out
 }
 
-// boundOf returns the least bound above a backlog, 0 where it is above all.
-func boundOf(backlog int) int {
-	for _, bound := range backlogs {
+// backlogBound returns the lowest bound above a backlog, or 0 if there is none.
+func backlogBound(backlog int) int {
+	for _, bound := range backlogBounds {
 		if backlog < bound {
 			return bound
 		}
@@ -145,10 +146,10 @@
 	return 0
 }
 
-// order puts the answers above all bounds last.
-func order(below int) int {
+// sortKey returns a key that sorts the answers above all bounds last.
+func sortKey(below int) int {
 	if below == 0 {
-		return backlogs[len(backlogs)-1] + 1
+		return backlogBounds[len(backlogBounds)-1] + 1
 	}
 	return below
 }
--- a/explain/times.go
+++ b/explain/times.go
@@ -10,15 +10,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Ages are how old the oldest word of another router was when requests were dispatched, in
-// milliseconds: the median and the 99th percentile.
-type Ages struct {
+// LoadAges contains the median and the 99th percentile of the age of the oldest load report of
+// another router when requests were dispatched, in milliseconds.
+type LoadAges struct {
 	Decisions int
 	P50, P99  float64
 }
 
-// LoadsAges returns the ages over all decisions.
-func (l *Log) LoadsAges() Ages {
+// LoadAges returns the ages over all decisions.
+func (l *Log) LoadAges() LoadAges {
 	var ages []float64
 	for _, line := range l.Lines {
 		if line.Outcome == dispatched {
@@ -26,28 +26,28 @@
 		}
 	}
 	if len(ages) == 0 {
-		return Ages{}
+		return LoadAges{}
 	}
 	stat.SortWeighted(ages, nil)
 	at := func(p float64) float64 { return stat.Quantile(p, stat.Empirical, ages, nil) }
-	return Ages{Decisions: len(ages), P50: at(0.5), P99: at(0.99)}
+	return LoadAges{Decisions: len(ages), P50: at(0.5), P99: at(0.99)}
 }
 
-// Moment is what happened in one second of the logs.
-type Moment struct {
-	Second     int // since the first line
+// Interval summarizes one second of the logs.
+type Interval struct {
+	Second     int // number of seconds since the first line
 	Expected   Quantiles
-	Came       Quantiles // when first parts came, of the same answers
+	Actual     Quantiles // actual delays of the first parts of the same answers
 	LoadsAge   Quantiles
 	Dispatched int
-	Refused    int // or turned away by their header
+	Refused    int // including requests refused by their header
 }
 
-// Moments returns what happened second by second; seconds without a decision are left out.
-func (l *Log) Moments() []Moment {
+// Intervals returns a summary of each second; seconds without a decision are omitted.
+func (l *Log) Intervals() []Interval {
 	type sample struct {
-		expected, came, ages []float64
-		refused              int
+		expected, actual, ages []float64
+		refused                int
 	}
 	var first time.Time
 	for _, line := range l.Lines {
@@ -77,15 +77,15 @@
 			s.refused += max(line.Refused, 1)
 		case line.Outcome == done && line.BegunMS > 0 && sent:
 			s.expected = append(s.expected, send.DelayMS)
-			s.came = append(s.came, line.BegunMS-send.AgeMS)
+			s.actual = append(s.actual, line.BegunMS-send.AgeMS)
 		}
 	}
-	var out []Moment
+	var out []Interval
 	for second := range last + 1 {
 		if s := samples[second]; s != nil && len(s.ages)+s.refused > 0 {
-			out = append(out, Moment{
-				Second: second, Expected: quantilesOf(s.expected), Came: quantilesOf(s.came),
-				LoadsAge: quantilesOf(s.ages), Dispatched: len(s.ages), Refused: s.refused,
+			out = append(out, Interval{
+				Second: second, Expected: quantiles(s.expected), Actual: quantiles(s.actual),
+				LoadsAge: quantiles(s.ages), Dispatched: len(s.ages), Refused: s.refused,
 			})
 		}
 	}
@@ -97,24 +97,24 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// WritePlot draws the medians of moments, in milliseconds by second, into a file whose ending
-// gives the format (svg, png, pdf).
-func WritePlot(path string, moments []Moment) error {
+// WritePlot draws the medians of intervals, in milliseconds by second, into a file whose extension
+// selects the format (svg, png, pdf).
+func WritePlot(path string, intervals []Interval) error {
 	p := plot.New()
 	p.Title.Text = "First parts of answers, and the age of the loads they were decided by"
 	p.X.Label.Text = "second of the logs"
 	p.Y.Label.Text = "ms, medians"
 	curves := []struct {
 		name string
-		of   func(Moment) float64
+		of   func(Interval) float64
 	}{
-		{"expected", func(m Moment) float64 { return m.Expected.P50 }},
-		{"came", func(m Moment) float64 { return m.Came.P50 }},
-		{"age of loads", func(m Moment) float64 { return m.LoadsAge.P50 }},
+		{"expected", func(m Interval) float64 { return m.Expected.P50 }},
+		{"came", func(m Interval) float64 { return m.Actual.P50 }},
+		{"age of loads", func(m Interval) float64 { return m.LoadsAge.P50 }},
 	}
 	for i, c := range curves {
-		points := make(plotter.XYs, 0, len(moments))
-		for _, m := range moments {
+		points := make(plotter.XYs, 0, len(intervals))
+		for _, m := range intervals {
 			points = append(points, plotter.XY{X: float64(m.Second), Y: c.of(m)})
 		}
 		line, err := plotter.NewLine(points)
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding holds what is wrong with something an operator wrote, with
-// its place, so that all of it can be reported together.
+// Package finding defines findings on operators' input, each with its position, so that
+// all of them can be reported together.
 package finding
 
 import (
@@ -11,23 +11,23 @@
 	"strings"
 )
 
-// Severity tells whether a finding stops the work.
+// Severity is the severity of a finding.
 type Severity string
 
-// The severities. An error stops what was asked; a warning doesn't.
+// The severities. An error prevents the requested operation; a warning doesn't.
 const (
 	Error   Severity = "error"
 	Warning Severity = "warning"
 )
 
-// Position is a place in a file, or the name of a setting.
+// Position is a position in a file, or the name of a setting.
 type Position struct {
 	File   string `json:"file"` // or the setting's name
 	Line   int    `json:"line,omitempty"`
 	Column int    `json:"column,omitempty"`
 }
 
-// String returns the position as FILE:LINE:COLUMN, or the bare name.
+// String returns the position as FILE:LINE:COLUMN, or only the name if there is no line.
 func (p Position) String() string {
 	if p.Line == 0 {
 		return p.File
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Finding is one thing that is wrong.
+// Finding is a problem found in a file or setting.
 type Finding struct {
 	Code     string   `json:"code"` // stable; see the table in docs/OPERATORS.md
 	Severity Severity `json:"severity"`
@@ -43,10 +43,10 @@
 	Message  string   `json:"message"`
 }
 
-// List is a report of findings. It is an error where it holds one.
+// List is a list of findings. It implements error; see Err.
 type List []Finding
 
-// Sort orders the findings by place, then code.
+// Sort sorts the findings by position, then code.
 func (l List) Sort() {
 	slices.SortStableFunc(l, func(a, b Finding) int {
 		return cmp.Or(
@@ -58,19 +58,19 @@
 	})
 }
 
-// Failed tells whether any finding is an error.
+// Failed reports whether any finding is an error.
 func (l List) Failed() bool {
 	return slices.ContainsFunc(l, func(f Finding) bool { return f.Severity == Error })
 }
 
-// Error returns all findings, a line each.
+// Error returns all findings, one per line.
 func (l List) Error() string {
 	var b strings.Builder
 	_ = Text(&b, l)
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// Err returns the list where it holds an error, else nil.
+// Err returns the list if any finding is an error, and nil otherwise.
 func (l List) Err() error {
 	if l.Failed() {
 		return l
@@ -78,13 +78,13 @@
 	return nil
 }
 
-// Formatter writes a report.
+// Formatter writes a list of findings.
 type Formatter func(io.Writer, List) error
 
-// Formatters holds the formatters by name.
+// Formatters contains the formatters by name.
 var Formatters = map[string]Formatter{"text": Text, "json": JSON}
 
-// Text writes one line for each finding.
+// Text writes the findings as text, one per line.
 func Text(w io.Writer, l List) error {
 	for _, f := range l {
 		if _, err := fmt.Fprintf(w, "%s: %s: %s (%s)\n", f.Position, f.Severity, f.Message, f.Code); err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// JSON writes one object that holds all findings.
+// JSON writes the findings as one JSON object.
 func JSON(w io.Writer, l List) error {
 	if l == nil {
 		l = List{}
--- a/notices/notices.go
+++ b/notices/notices.go
@@ -1,9 +1,9 @@
-// Package notices hears what backend servers say of themselves in their answers, and keeps requests from those that
-// want none.
+// Package notices records the notices that backend servers send with their answers, and prevents requests from being
+// sent to those that accept no new ones.
 //
-// Two look at what was heard. The decisions do when they choose a backend server. But a decision may be old by the time
-// it is carried out: the event with the word waits for its turn at a busy router, and a connection takes a
-// while to make. So whoever sends looks once more, right before the first byte.
+// The notices are checked twice. The scheduler checks them when it selects a backend server. But its decision may be
+// outdated when it is carried out: on a busy router the event with the notice waits in a queue, and it takes time to
+// establish a connection. So the sender checks again directly before it sends the first byte.
 package notices
 
 import (
@@ -17,37 +17,37 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Decisions are told what was heard.
+// Decisions receives the notices as events.
 type Decisions interface {
 	Tell(core.Event)
 }
 
-// Board holds what a router has heard.
+// Board holds the notices that a router has received.
 type Board struct {
 	decisions Decisions
 	clock     *clock.Clock
-	counted   *prometheus.CounterVec // by kind
+	counter   *prometheus.CounterVec // by kind
 
 	mu   sync.Mutex
 	book *notice.Book
 }
 
-// New returns a board on which nothing stands. The counter is one of answers, by what they say.
-func New(decisions Decisions, c *clock.Clock, counted *prometheus.CounterVec) *Board {
-	return &Board{decisions: decisions, clock: c, counted: counted, book: notice.New()}
+// New returns an empty board. It counts received notices by kind in counter.
+func New(decisions Decisions, c *clock.Clock, counter *prometheus.CounterVec) *Board {
+	return &Board{decisions: decisions, clock: c, counter: counter, book: notice.New()}
 }
 
-// Hear takes what a backend server has said of itself, and tells whether that changes what is sent to it. A request
-// that is kept from it from then on is decided on anew after the decisions have been told.
+// Hear records a notice of a backend server, and reports whether it changes what may be sent to it. It sends the
+// notice to the scheduler first, so that a request that is then not sent is scheduled again with the notice considered.
 func (b *Board) Hear(id model.BackendID, n notice.Notice) (changed bool) {
 	if n == (notice.Notice{}) {
 		return false
 	}
 	if n.Leaving {
-		b.counted.WithLabelValues("leaving").Inc()
+		b.counter.WithLabelValues("leaving").Inc()
 	}
 	if n.Rest > 0 {
-		b.counted.WithLabelValues("rest").Inc()
+		b.counter.WithLabelValues("rest").Inc()
 	}
 	b.decisions.Tell(core.Noticed{Backend: id, Notice: n})
 	b.mu.Lock()
@@ -55,10 +55,10 @@
 	return b.book.Take(b.clock.Now(), id, n)
 }
 
-// Unreadable counts a word that can't be read.
-func (b *Board) Unreadable() { b.counted.WithLabelValues("unreadable").Inc() }
+// Unreadable counts a notice that can't be parsed.
+func (b *Board) Unreadable() { b.counter.WithLabelValues("unreadable").Inc() }
 
-// Takes tells whether a backend server takes anything new, as far as it has said.
+// Takes reports whether a backend server accepts new requests, according to its notices.
 func (b *Board) Takes(id model.BackendID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads a program's settings from flags and environment
-// variables, and checks all of them at once.
+// variables, and reports all invalid ones together.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// EnvPrefix begins the environment variable of each flag: the flag
+// EnvPrefix is the prefix of the environment variable of each flag: the flag
 // --caller-listen is TAMARINDSTEP_CALLER_LISTEN.
 const EnvPrefix = "TAMARINDSTEP"
 
@@ -26,21 +26,20 @@
 	CodeMissing = "TS3000"
 	CodeAddress = "TS3001"
 	CodeFile    = "TS3002"
-	CodeWord    = "TS3003"
+	CodeChoice  = "TS3003"
 	CodeName    = "TS3004"
 	CodeNumber  = "TS3005"
 )
 
-var name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Reader reads settings and collects what is wrong with them.
+// Reader reads settings and collects findings on invalid ones.
 type Reader struct {
 	values   *viper.Viper
 	findings finding.List
 }
 
-// NewReader returns a reader of the flags, and of the environment where a flag
-// isn't given.
+// NewReader returns a reader of the flags. A flag that isn't given is read from the environment.
 func NewReader(flags *pflag.FlagSet) (*Reader, error) {
 	v := viper.New()
 	v.SetEnvPrefix(EnvPrefix)
@@ -52,7 +51,7 @@
 	return &Reader{values: v}, nil
 }
 
-// Err returns all findings, or nil.
+// Err returns all findings as one error, or nil if there are none.
 func (r *Reader) Err() error {
 	r.findings.Sort()
 	return r.findings.Err()
@@ -65,7 +64,7 @@
 	})
 }
 
-// Text returns a setting that may be empty.
+// Text returns an optional setting.
 func (r *Reader) Text(flag string) string { return r.values.GetString(flag) }
 
 func (r *Reader) required(flag string) (string, bool) {
@@ -77,16 +76,16 @@
 	return v, v != ""
 }
 
-// Name returns a setting that must be a name.
+// Name returns a required setting that must be a valid name.
 func (r *Reader) Name(flag string) string {
 	v, ok := r.required(flag)
-	if ok && !name.MatchString(v) {
+	if ok && !namePattern.MatchString(v) {
 		r.add(CodeName, flag, "%q isn't a name of letters, digits, dots, dashes and underscores", v)
 	}
 	return v
 }
 
-// Address returns a setting that must be an IP and port.
+// Address returns a required setting that must be an IP and port.
 func (r *Reader) Address(flag string) string {
 	v, ok := r.required(flag)
 	if !ok {
@@ -98,8 +97,8 @@
 	return v
 }
 
-// Secret returns the contents, less white space around them, of the file that a
-// setting names.
+// Secret returns the contents, without surrounding white space, of the file named by a
+// required setting.
 func (r *Reader) Secret(flag string) string {
 	path, ok := r.required(flag)
 	if !ok {
@@ -111,30 +110,30 @@
 		return ""
 	}
 	secret := strings.TrimSpace(string(data))
-	if len(secret) < minSecret {
-		r.add(CodeFile, flag, "%q holds less than %d characters", path, minSecret)
+	if len(secret) < minSecretLength {
+		r.add(CodeFile, flag, "%q holds less than %d characters", path, minSecretLength)
 	}
 	return secret
 }
 
-// Number returns a setting that must be a number of at least least.
-func (r *Reader) Number(flag string, least float64) float64 {
+// Number returns a setting that must be a number not less than minimum.
+func (r *Reader) Number(flag string, minimum float64) float64 {
 	text := r.values.GetString(flag)
 	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || v < least {
-		r.add(CodeNumber, flag, "%q isn't a number of at least %v", text, least)
+	if err != nil || v < minimum {
+		r.add(CodeNumber, flag, "%q isn't a number of at least %v", text, minimum)
 	}
 	return v
 }
 
-// minSecret is the size of the shortest secret, in bytes.
-const minSecret = 16
+// minSecretLength is the minimum length of a secret in bytes.
+const minSecretLength = 16
 
-// Word returns a setting that must be one of the words.
-func (r *Reader) Word(flag string, words ...string) string {
+// Choice returns a setting that must be one of the allowed values.
+func (r *Reader) Choice(flag string, allowed ...string) string {
 	v := r.values.GetString(flag)
-	if !slices.Contains(words, v) {
-		r.add(CodeWord, flag, "%q is not one of: %s", v, strings.Join(words, ", "))
+	if !slices.Contains(allowed, v) {
+		r.add(CodeChoice, flag, "%q is not one of: %s", v, strings.Join(allowed, ", "))
 	}
 	return v
 }
--- a/status/status.go
+++ b/status/status.go
@@ -1,5 +1,5 @@
-// Package status answers the calls that routers make to each other, and puts
-// their answers together into one picture of the fleet.
+// Package status serves the calls between routers, and merges the routers' states
+// into the state of the fleet.
 package status
 
 import (
@@ -24,25 +24,24 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name that the service is registered under.
 const ServiceName = "status"
 
 const callTimeout = 2 * time.Second
 
-// Service answers and asks.
+// Service serves the calls of other routers and calls them for their state.
 type Service struct {
-	self      string
-	drain     func()
-	scheduler *scheduler.Service
-	gens      *generation.Service
-	claims    *claim.Service
-	peers     *peer.Service
-	fleet     *fleet.Service
-	traces    *telemetry.Traces
+	self        string
+	drain       func()
+	scheduler   *scheduler.Service
+	generations *generation.Service
+	claims      *claim.Service
+	peers       *peer.Service
+	fleet       *fleet.Service
+	traces      *telemetry.Traces
 }
 
-// New returns the service; drain is called when an operator asks the router to
-// stop.
+// New returns the service. It calls drain when an operator requests that the router stops.
 func New(self string, drain func()) *Service { return &Service{self: self, drain: drain} }
 
 // Name implements kernel.Service.
@@ -62,7 +61,7 @@
 	if s.scheduler, err = kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName); err != nil {
 		return err
 	}
-	if s.gens, err = kernel.Lookup[*generation.Service](k, generation.ServiceName); err != nil {
+	if s.generations, err = kernel.Lookup[*generation.Service](k, generation.ServiceName); err != nil {
 		return err
 	}
 	if s.claims, err = kernel.Lookup[*claim.Service](k, claim.ServiceName); err != nil {
@@ -86,7 +85,7 @@
 
 // Fetch implements wire.DRPCPeerServer.
 func (s *Service) Fetch(ctx context.Context, in *wire.FetchRequest) (*wire.FetchResponse, error) {
-	return s.gens.Fetch(ctx, in)
+	return s.generations.Fetch(ctx, in)
 }
 
 // Claim implements wire.DRPCPeerServer.
@@ -98,7 +97,7 @@
 
 // Status implements wire.DRPCPeerServer.
 func (s *Service) Status(context.Context, *wire.StatusRequest) (*wire.StatusResponse, error) {
-	out := &wire.StatusResponse{Ready: s.gens.Ready()}
+	out := &wire.StatusResponse{Ready: s.generations.Ready()}
 	s.scheduler.Look(func(c *core.Core) { c.View(out) })
 	return out, nil
 }
@@ -109,7 +108,8 @@
 	return &wire.DrainResponse{}, nil
 }
 
-// DrainRouter lets the named router stop, be it this one or another.
+// DrainRouter drains the named router, which may be this one. The error is peer.Unreached if
+// no live router has the name.
 func (s *Service) DrainRouter(ctx context.Context, name string) error {
 	if name == s.self {
 		s.drain()
@@ -126,30 +126,30 @@
 	})
 }
 
-// Fleet is the state of the fleet as one router could gather it.
+// Fleet is the state of the fleet as collected by one router.
 type Fleet struct {
 	Routers    []Router  `json:"routers"`
 	Backends   []Backend `json:"backends"`
 	Accounts   []Account `json:"accounts"`
-	GapTokens  int64     `json:"gap_tokens"` // between the backlogged accounts of a pool, the widest
-	Generation uint64    `json:"generation"` // the highest in force anywhere
-	// Evacuated names the data halls that are evacuated by what any router has in force.
+	GapTokens  int64     `json:"gap_tokens"` // the largest difference between backlogged accounts of a pool
+	Generation uint64    `json:"generation"` // the highest in force at any router
+	// Evacuated lists the data halls that are evacuated in the configuration of any router.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Held are the requests that any router holds back.
-	Held []Held `json:"held,omitempty"`
+	// Held lists the requests that any router holds back.
+	Held []HeldRequest `json:"held,omitempty"`
 }
 
-// Held is a request that is held back, as backend servers have ended under it.
-type Held struct {
+// HeldRequest is a request that is held back because backend servers ended while running it.
+type HeldRequest struct {
 	Fingerprint string `json:"fingerprint"`
-	Account     string `json:"account"` // "" for none
+	Account     string `json:"account"` // "" if there is none
 	Ends        uint32 `json:"ends"`
-	SinceMS     uint32 `json:"since_ms"` // ago, the first of them
-	TryMS       uint32 `json:"try_ms"`   // until a router tries it
-	Routers     int    `json:"routers"`  // that hold it back
+	SinceMS     uint32 `json:"since_ms"` // time since the first of them
+	TryMS       uint32 `json:"try_ms"`   // time until a router tries it
+	Routers     int    `json:"routers"`  // number of routers that hold it back
 }
 
-// Router is one router.
+// Router is the state of a router.
 type Router struct {
 	Name       string `json:"name"`
 	DataHall   string `json:"data_hall"`
@@ -157,36 +157,36 @@
 	Generation uint64 `json:"generation"`
 	Ready      bool   `json:"ready"`
 	Policy     string `json:"policy"`
-	Error      string `json:"error,omitempty"` // why it couldn't be asked
+	Error      string `json:"error,omitempty"` // why its state couldn't be fetched
 }
 
-// Backend is one backend server, as its owner has it.
+// Backend is the state of a backend server at the router that owns it.
 type Backend struct {
 	Name     string `json:"name"`
-	BornMS   uint64 `json:"born_ms,omitempty"` // when this run started by its own clock, in Unix ms; 0 where it doesn't say
+	BornMS   uint64 `json:"born_ms,omitempty"` // start time of its process by its own clock, in Unix ms; 0 if not reported
 	Pool     string `json:"pool"`
 	Owner    string `json:"owner"`
 	Slots    uint32 `json:"slots"`
 	Limit    uint32 `json:"limit"`
 	Occupied uint32 `json:"occupied"`
 	Leaving  bool   `json:"leaving"`
-	// Evacuated tells that its data hall is evacuated.
+	// Evacuated reports whether its data hall is evacuated.
 	Evacuated bool `json:"evacuated"`
 }
 
-// Account is one client account in one pool, over the fleet.
+// Account is the state of a client account in a pool, over the fleet.
 type Account struct {
 	Name           string `json:"name"`
 	Pool           string `json:"pool"`
-	Delivered      int64  `json:"delivered_tokens"` // since each router's start
+	Delivered      int64  `json:"delivered_tokens"` // since the start of each router
 	VirtualService int64  `json:"virtual_service"`
 	Waiting        uint32 `json:"waiting"`
 	Running        uint32 `json:"running"`
 	Backlogged     bool   `json:"backlogged"`
-	Gap            int64  `json:"gap_tokens"` // ahead of the least backlogged
+	Gap            int64  `json:"gap_tokens"` // ahead of the backlogged account with the lowest virtual service
 }
 
-// Gather asks every router and puts the answers together.
+// Gather fetches the state of every router and merges them.
 func (s *Service) Gather(ctx context.Context) Fleet {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -194,29 +194,29 @@
 	answers := []*wire.StatusResponse{own}
 	routers := []Router{routerOf(own, wire.Status_STATUS_ALIVE)}
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, m := range own.Members[1:] {
 		if m.Status == wire.Status_STATUS_DEAD {
-			routers = append(routers, Router{Name: m.Name, DataHall: m.DataHall, Status: statusWord(m.Status)})
+			routers = append(routers, Router{Name: m.Name, DataHall: m.DataHall, Status: statusName(m.Status)})
 			continue
 		}
-		asking.Go(func() {
-			answer, err := s.ask(ctx, m.Address)
+		wg.Go(func() {
+			answer, err := s.fetchStatus(ctx, m.Address)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				routers = append(routers, Router{Name: m.Name, DataHall: m.DataHall, Status: statusWord(m.Status), Error: err.Error()})
+				routers = append(routers, Router{Name: m.Name, DataHall: m.DataHall, Status: statusName(m.Status), Error: err.Error()})
 				return
 			}
 			answers = append(answers, answer)
 			routers = append(routers, routerOf(answer, m.Status))
 		})
 	}
-	asking.Wait()
-	return assemble(routers, answers)
+	wg.Wait()
+	return merge(routers, answers)
 }
 
-func (s *Service) ask(ctx context.Context, address string) (*wire.StatusResponse, error) {
+func (s *Service) fetchStatus(ctx context.Context, address string) (*wire.StatusResponse, error) {
 	var out *wire.StatusResponse
 	err := s.peers.Call(ctx, address, func(ctx context.Context, c wire.DRPCPeerClient) error {
 		var err error
@@ -226,24 +226,24 @@
 	return out, err
 }
 
-func statusWord(s wire.Status) string {
+func statusName(s wire.Status) string {
 	return map[wire.Status]string{
 		wire.Status_STATUS_ALIVE: "live", wire.Status_STATUS_SUSPECT: "suspect",
 		wire.Status_STATUS_LEAVING: "leaving", wire.Status_STATUS_DEAD: "dead",
 	}[s]
 }
 
-func routerOf(r *wire.StatusResponse, held wire.Status) Router {
+func routerOf(r *wire.StatusResponse, state wire.Status) Router {
 	if r.Draining {
-		held = wire.Status_STATUS_LEAVING
+		state = wire.Status_STATUS_LEAVING
 	}
 	return Router{
-		Name: r.Name, DataHall: r.DataHall, Status: statusWord(held),
+		Name: r.Name, DataHall: r.DataHall, Status: statusName(state),
 		Generation: r.Generation, Ready: r.Ready, Policy: r.Policy,
 	}
 }
 
-func assemble(routers []Router, answers []*wire.StatusResponse) Fleet {
+func merge(routers []Router, answers []*wire.StatusResponse) Fleet {
 	f := Fleet{Routers: routers}
 	slices.SortFunc(f.Routers, func(a, b Router) int { return cmp.Compare(a.Name, b.Name) })
 	slices.SortFunc(answers, func(a, b *wire.StatusResponse) int { return cmp.Compare(a.Name, b.Name) })
@@ -260,39 +260,39 @@
 	slices.Sort(f.Evacuated)
 	f.Evacuated = slices.Compact(f.Evacuated)
 	slices.SortFunc(f.Backends, func(a, b Backend) int { return cmp.Compare(a.Name+a.Owner, b.Name+b.Owner) })
-	f.Held = joinHeld(answers)
+	f.Held = mergeHeld(answers)
 	f.Accounts = sumAccounts(answers)
-	f.GapTokens = fillGaps(f.Accounts)
+	f.GapTokens = setGaps(f.Accounts)
 	return f
 }
 
-// joinHeld puts together what the routers know of each request that is held back.
-func joinHeld(answers []*wire.StatusResponse) []Held {
-	joined := map[string]*Held{}
+// mergeHeld merges the routers' states of each request that is held back.
+func mergeHeld(answers []*wire.StatusResponse) []HeldRequest {
+	merged := map[string]*HeldRequest{}
 	for _, a := range answers {
 		for _, h := range a.Held {
 			name := model.Fingerprint(h.Fingerprint).String()
-			if joined[name] == nil {
-				joined[name] = &Held{Fingerprint: name, Account: h.Account, TryMS: h.TryMs}
+			if merged[name] == nil {
+				merged[name] = &HeldRequest{Fingerprint: name, Account: h.Account, TryMS: h.TryMs}
 			}
-			held := joined[name]
+			held := merged[name]
 			held.Ends, held.SinceMS = max(held.Ends, h.Ends), max(held.SinceMS, h.SinceMs)
 			held.TryMS = min(held.TryMS, h.TryMs)
 			held.Routers++
 		}
 	}
-	var out []Held
-	for _, name := range slices.Sorted(maps.Keys(joined)) {
-		out = append(out, *joined[name])
+	var out []HeldRequest
+	for _, name := range slices.Sorted(maps.Keys(merged)) {
+		out = append(out, *merged[name])
 	}
 	return out
 }
 
-// Release clears a request of what is held against it, at all routers.
+// Release clears the record of backend servers ended by a request, at all routers.
 func (s *Service) Release(f model.Fingerprint) { s.scheduler.Tell(core.Answered{Fingerprint: f}) }
 
-// sumAccounts adds up each account's parts at the routers; what is known over
-// the fleet is taken from the router that has seen the most.
+// sumAccounts adds up the figures of each account at the routers. The virtual service is that of the
+// whole fleet, and the highest value is the most recent.
 func sumAccounts(answers []*wire.StatusResponse) []Account {
 	type key struct{ pool, name string }
 	sums := map[key]*Account{}
@@ -320,22 +320,22 @@
 	return out
 }
 
-// fillGaps sets how far each backlogged account is ahead of the least of its
-// pool, and returns the widest gap.
-func fillGaps(accounts []Account) int64 {
+// setGaps sets how far each backlogged account is ahead of the backlogged account with the lowest
+// virtual service in its pool, and returns the largest gap.
+func setGaps(accounts []Account) int64 {
 	least := map[string]int64{}
 	for _, a := range accounts {
 		if v, ok := least[a.Pool]; a.Backlogged && (!ok || a.VirtualService < v) {
 			least[a.Pool] = a.VirtualService
 		}
 	}
-	var widest int64
+	var largest int64
 	for i := range accounts {
 		a := &accounts[i]
 		if a.Backlogged {
 			a.Gap = a.VirtualService - least[a.Pool]
-			widest = max(widest, a.Gap)
+			largest = max(largest, a.Gap)
 		}
 	}
-	return widest
+	return largest
 }
--- a/telemetry/logwriter.go
+++ b/telemetry/logwriter.go
@@ -10,125 +10,125 @@
 )
 
 const (
-	// logQueue is how many bytes of lines may wait to be written.
-	logQueue = 256 << 10
-	// logRate is how many lines a second are taken at the most, and logBurst how
-	// many at once.
-	logRate  = 400
-	logBurst = 800
-	// logFlush is how often what waits is written.
-	logFlush = 50 * time.Millisecond
+	// maxQueued is the maximum size of the lines waiting to be written, in bytes.
+	maxQueued = 256 << 10
+	// maxRate is the maximum rate of lines per second, and maxBurst the maximum
+	// number of lines at once.
+	maxRate  = 400
+	maxBurst = 800
+	// flushInterval is the time between writes of waiting lines.
+	flushInterval = 50 * time.Millisecond
 )
 
-// LogWriter writes log lines without ever blocking those who log: lines beyond
-// its rate, or while its reader doesn't keep up, are dropped, counted, and the
-// number is written as a line of its own.
+// LogWriter writes log lines without blocking its callers. Lines beyond the maximum
+// rate, or beyond the maximum queue if the reader is too slow, are dropped and counted, and the
+// count is written as a separate line.
 type LogWriter struct {
 	out     io.Writer
 	dropped atomic.Int64
 
-	mu     sync.Mutex
-	lines  bytes.Buffer
-	rest   []byte // taken from lines and not written yet; it begins within a line where its reader took a part
-	tokens float64
-	filled time.Time
-	queued chan struct{}
-	closed bool
-	ended  chan struct{}
+	mu       sync.Mutex
+	lines    bytes.Buffer
+	pending  []byte // taken from lines and not written yet; may begin within a line after a partial write
+	tokens   float64
+	refilled time.Time
+	wake     chan struct{}
+	closed   bool
+	done     chan struct{}
 }
 
-// NewLogWriter returns a writer to out; it must be closed.
+// NewLogWriter returns a writer to out. The caller must close it.
 func NewLogWriter(out io.Writer) *LogWriter {
 	w := &LogWriter{
-		out: out, tokens: logBurst, filled: time.Now(),
-		queued: make(chan struct{}, 1), ended: make(chan struct{}),
+		out: out, tokens: maxBurst, refilled: time.Now(),
+		wake: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never fails.
+// Write queues a line or drops it. It never returns an error.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.tokens = min(w.tokens+now.Sub(w.filled).Seconds()*logRate, logBurst)
-	w.filled = now
-	if w.closed || w.tokens < 1 || w.lines.Len()+len(line) > logQueue {
+	w.tokens = min(w.tokens+now.Sub(w.refilled).Seconds()*maxRate, maxBurst)
+	w.refilled = now
+	if w.closed || w.tokens < 1 || w.lines.Len()+len(line) > maxQueued {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
 	w.tokens--
 	w.lines.Write(line)
 	select {
-	case w.queued <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped since the last note of it.
+// Dropped returns the number of lines dropped since the count was last written.
 func (w *LogWriter) Dropped() int64 { return w.dropped.Load() }
 
 func (w *LogWriter) run() {
-	defer close(w.ended)
-	for range w.queued {
-		time.Sleep(logFlush)
+	defer close(w.done)
+	for range w.wake {
+		time.Sleep(flushInterval)
 		if !w.flush() {
-			w.again()
+			w.requestFlush()
 		}
 	}
-	for tries := 0; !w.flush() && tries < lastTries; tries++ {
-		time.Sleep(logFlush)
+	for attempts := 0; !w.flush() && attempts < finalAttempts; attempts++ {
+		time.Sleep(flushInterval)
 	}
 }
 
-// lastTries is how often what is left is tried to be written at the end.
-const lastTries = 10
+// finalAttempts is the maximum number of attempts to write the remaining lines on close.
+const finalAttempts = 10
 
-// again lets what is left be written before long.
-func (w *LogWriter) again() {
+// requestFlush requests another flush for the remaining lines.
+func (w *LogWriter) requestFlush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return
 	}
 	select {
-	case w.queued <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// flush writes what waits, and tells whether all of it was taken. A reader that doesn't keep up may take a part, in the middle of a
-// line: that line goes on with the next write, as it else ends where the next one begins, and neither can be read. Of a busy
-// router's lines 134 of 4,030 were so, each after 8,192 bytes of one write.
+// flush writes the waiting lines and reports whether all were written. With a slow reader a write may end in the middle
+// of a line. The next write then continues that line, as otherwise the line and the one after it would be unreadable.
+// This affected 134 of 4,030 lines of a busy router, each after 8,192 bytes of one write.
 func (w *LogWriter) flush() bool {
 	w.mu.Lock()
-	w.rest = append(w.rest, w.lines.Bytes()...)
+	w.pending = append(w.pending, w.lines.Bytes()...)
 	w.lines.Reset()
 	w.mu.Unlock()
 	if n := w.dropped.Swap(0); n > 0 {
-		w.rest = fmt.Appendf(w.rest, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines dropped\"}\n", n)
+		w.pending = fmt.Appendf(w.pending, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines dropped\"}\n", n)
 	}
-	for err := error(nil); err == nil && len(w.rest) > 0; {
+	for err := error(nil); err == nil && len(w.pending) > 0; {
 		var n int
-		n, err = w.out.Write(piece(w.rest))
-		w.rest = w.rest[n:]
+		n, err = w.out.Write(nextWrite(w.pending))
+		w.pending = w.pending[n:]
 	}
-	w.bound()
-	return len(w.rest) == 0
+	w.trimPending()
+	return len(w.pending) == 0
 }
 
-// maxPiece is how much is written at once, in bytes, where a line isn't longer: what a pipe takes whole or not at all (PIPE_BUF of
-// Linux). Some that collect logs take 8 kB of a write and drop the rest.
-const maxPiece = 4096
+// maxWrite is the maximum size of a write in bytes, unless a single line is longer. A pipe accepts up to this size
+// atomically (PIPE_BUF on Linux). Some log collectors read 8 kB of a write and drop the rest.
+const maxWrite = 4096
 
-// piece returns the lines at the beginning that fit into maxPiece, or the first line.
-func piece(lines []byte) []byte {
-	if len(lines) <= maxPiece {
+// nextWrite returns the leading lines that fit into maxWrite, or the first line if it is longer.
+func nextWrite(lines []byte) []byte {
+	if len(lines) <= maxWrite {
 		return lines
 	}
-	if end := bytes.LastIndexByte(lines[:maxPiece], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(lines[:maxWrite], '\n'); end >= 0 {
 		return lines[:end+1]
 	}
 	if end := bytes.IndexByte(lines, '\n'); end >= 0 {
@@ -137,17 +137,18 @@
 	return lines
 }
 
-// bound drops whole lines of what is left where it is too long; the line that was begun is kept to its end.
-func (w *LogWriter) bound() {
-	if len(w.rest) <= logQueue {
+// trimPending drops the remaining lines if they exceed maxQueued, except for the first one, which may be partly
+// written.
+func (w *LogWriter) trimPending() {
+	if len(w.pending) <= maxQueued {
 		return
 	}
-	end := bytes.IndexByte(w.rest, '\n') + 1
-	w.dropped.Add(int64(bytes.Count(w.rest[end:], []byte("\n"))))
-	w.rest = w.rest[:end]
+	end := bytes.IndexByte(w.pending, '\n') + 1
+	w.dropped.Add(int64(bytes.Count(w.pending[end:], []byte("\n"))))
+	w.pending = w.pending[:end]
 }
 
-// Close writes what waits, and ends the writer.
+// Close writes the waiting lines and stops the writer.
 func (w *LogWriter) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -155,7 +156,7 @@
 		return
 	}
 	w.closed = true
-	close(w.queued)
+	close(w.wake)
 	w.mu.Unlock()
-	<-w.ended
+	<-w.done
 }
--- a/telemetry/logwriter_test.go
+++ b/telemetry/logwriter_test.go
@@ -12,20 +12,20 @@
 	"github.com/matryer/is"
 )
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
-	free chan struct{}
-	got  bytes.Buffer
+// blockedWriter is a writer that blocks until it is released.
+type blockedWriter struct {
+	released chan struct{}
+	got      bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(b []byte) (int, error) {
+	<-s.released
 	return s.got.Write(b)
 }
 
 func TestLogNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{released: make(chan struct{})}
 	w := NewLogWriter(out)
 	line := []byte(strings.Repeat("x", 1000) + "\n")
 	done := make(chan struct{})
@@ -38,24 +38,24 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging blocks while its reader takes nothing")
+		t.Fatal("logging blocks while its writer blocks")
 	}
-	close(out.free)
+	close(out.released)
 	w.Close()
 	text := out.got.String()
 	is.True(strings.Contains(text, "log lines dropped"))
-	is.True(len(text) <= 2*logQueue)
-	_, err := w.Write(line) // after the end: dropped, not lost in a panic
+	is.True(len(text) <= 2*maxQueued)
+	_, err := w.Write(line) // after Close: the line is dropped without a panic
 	is.NoErr(err)
 }
 
-// partial is a reader that takes a part at a time, and now and then nothing.
-type partial struct {
+// partialWriter is a writer that accepts a part of each write, and nothing of every third one.
+type partialWriter struct {
 	got    bytes.Buffer
 	writes int
 }
 
-func (p *partial) Write(b []byte) (int, error) {
+func (p *partialWriter) Write(b []byte) (int, error) {
 	p.writes++
 	if p.writes%3 == 0 {
 		return 0, syscall.EAGAIN
@@ -68,11 +68,12 @@
 	return n, nil
 }
 
-// TestLogLinesAreWhole lets a reader take parts of what is written: no line ends where another begins.
+// TestLogLinesAreWhole guards against broken lines after partial writes, when the next line was written without the
+// rest of the previous one.
 func TestLogLinesAreWhole(t *testing.T) {
 	is := is.New(t)
-	out := &partial{}
-	w := &LogWriter{out: out, tokens: logBurst, filled: time.Now(), queued: make(chan struct{}, 1), ended: make(chan struct{})}
+	out := &partialWriter{}
+	w := &LogWriter{out: out, tokens: maxBurst, refilled: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	want := 0
 	for range 40 {
 		for range 5 {
@@ -83,8 +84,8 @@
 		}
 		w.flush()
 	}
-	for tries := 0; !w.flush(); tries++ {
-		is.True(tries < 1000)
+	for attempts := 0; !w.flush(); attempts++ {
+		is.True(attempts < 1000)
 	}
 	got := 0
 	for line := range strings.Lines(out.got.String()) {
@@ -96,17 +97,17 @@
 	is.Equal(got, want)
 }
 
-// truncating is a reader that takes the beginning of what is written at once, and says that it took all.
-type truncating struct{ got bytes.Buffer }
+// truncatingWriter is a writer that keeps the beginning of each write and drops the rest without an error.
+type truncatingWriter struct{ got bytes.Buffer }
 
-func (c *truncating) Write(b []byte) (int, error) {
+func (c *truncatingWriter) Write(b []byte) (int, error) {
 	c.got.Write(b[:min(len(b), 8192)])
 	return len(b), nil
 }
 
 func TestLogIsWrittenInPieces(t *testing.T) {
 	is := is.New(t)
-	out := &truncating{}
+	out := &truncatingWriter{}
 	w := NewLogWriter(out)
 	for i := range 200 {
 		_, err := fmt.Fprintf(w, "{\"line\":%d,\"long\":%q}\n", i, strings.Repeat("x", 10*(i%90)))
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the counters of the program and its traces.
+// Package telemetry provides the router's metrics, traces and log writer.
 package telemetry
 
 import (
@@ -6,9 +6,9 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-const prefix = "tamarindstep"
+const namespace = "tamarindstep"
 
-// Metrics are all counters of a router.
+// Metrics contains all metrics of a router.
 type Metrics struct {
 	Registry *prometheus.Registry
 	Peer     *Peer
@@ -18,7 +18,7 @@
 	Platform *Platform
 }
 
-// Peer counts what goes between routers.
+// Peer contains the metrics of the traffic between routers.
 type Peer struct {
 	SentBytes     prometheus.Counter
 	SentDatagrams prometheus.Counter
@@ -27,20 +27,20 @@
 	SendFailures  prometheus.Counter
 }
 
-// Halls counts what leaves the data hall, or comes from another one.
+// Halls contains the metrics of the traffic between this data hall and others.
 type Halls struct {
 	Bytes  *prometheus.CounterVec // by kind
 	Copied prometheus.Counter     // tokens
 }
 
-// The kinds of bytes between data halls.
+// The kinds of traffic between data halls.
 const (
 	HallRequests = "requests" // to backend servers
-	HallAnswers  = "answers"  // of backend servers
+	HallAnswers  = "answers"  // from backend servers
 	HallControl  = "control"  // datagrams to other routers
 )
 
-// Front counts the callers' requests.
+// Front contains the metrics of callers' requests.
 type Front struct {
 	Requests     *prometheus.CounterVec   // by account, route, outcome
 	Refusals     *prometheus.CounterVec   // by code
@@ -50,43 +50,43 @@
 	HeldLimit    prometheus.Gauge
 	GaveWay      *prometheus.CounterVec // by what
 	Ended        prometheus.Counter
-	Breaches     *prometheus.CounterVec // answers broken off towards their callers, by Breach
-	Notices      *prometheus.CounterVec // by what they say
+	Breaches     *prometheus.CounterVec // incomplete answers to callers, by Breach
+	Notices      *prometheus.CounterVec // by kind
 	Open         prometheus.Gauge
 	Unread       *prometheus.CounterVec // by reason
 	Pending      prometheus.Gauge
-	Window       prometheus.Gauge // requests, infinite where none was late
+	Window       prometheus.Gauge // requests; infinite if no decision was late
 	Carried      prometheus.Gauge
-	CarriedLimit prometheus.Gauge       // streams, infinite where the router's turns come in time
+	CarriedLimit prometheus.Gauge       // streams; infinite if the event loop isn't delayed
 	Work         *prometheus.CounterVec // by kind
 }
 
-// Breach is why an answer that had begun isn't whole.
+// Breach is the reason for an incomplete answer.
 type Breach string
 
-// The breaches.
+// The reasons for incomplete answers.
 const (
-	BreachStalled Breach = "caller-stalled" // the caller took nothing for too long
-	BreachLeft    Breach = "caller-left"    // it ended its connection
-	BreachBackend Breach = "backend"        // the backend server broke off, and nobody could continue
-	BreachLate    Breach = "time-over"      // the request's own time was over
+	BreachStalled Breach = "caller-stalled" // the caller didn't read the answer for too long
+	BreachLeft    Breach = "caller-left"    // the caller closed its connection
+	BreachBackend Breach = "backend"        // the backend server interrupted the answer, and no other could continue it
+	BreachLate    Breach = "time-over"      // the request's timeout expired
 )
 
-// Share counts the decisions.
+// Share contains the metrics of the scheduler.
 type Share struct {
 	Dispatched *prometheus.CounterVec // by account, backend, policy
 	Tokens     *prometheus.CounterVec // by account, pool, policy
 	StepTime   prometheus.Counter     // seconds
 	Steps      prometheus.Counter
-	EventWait  prometheus.Histogram // seconds from an event to the step that takes it
-	Step       prometheus.Histogram // seconds of a step
+	EventWait  prometheus.Histogram // seconds from an event to the step that handles it
+	Step       prometheus.Histogram // duration of a step in seconds
 	Members    prometheus.Gauge
 	Owned      prometheus.Gauge
 	Held       prometheus.Gauge
 	Overdue    prometheus.Gauge
 }
 
-// Platform counts the use of the platform.
+// Platform contains the metrics of the platform's services.
 type Platform struct {
 	StoreCalls    *prometheus.CounterVec // by call
 	StoreFailures *prometheus.CounterVec // by call
@@ -99,14 +99,14 @@
 	EraRefused    prometheus.Counter
 }
 
-// waitBuckets reach from a millisecond to some minutes, in seconds.
-var waitBuckets = prometheus.ExponentialBuckets(0.001, 2, 19)
+// durationBuckets are the histogram buckets in seconds, from a millisecond to some minutes.
+var durationBuckets = prometheus.ExponentialBuckets(0.001, 2, 19)
 
-// NewMetrics returns a router's counters, registered.
+// NewMetrics returns a router's metrics, registered in a new registry.
 func NewMetrics() *Metrics {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(collectors.WithGoCollectorRuntimeMetrics(collectors.MetricsScheduler)), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	f := factory{r}
+	f := metricFactory{r}
 	return &Metrics{
 		Registry: r,
 		Peer: &Peer{
@@ -165,41 +165,41 @@
 	}
 }
 
-type factory struct{ registry *prometheus.Registry }
+type metricFactory struct{ registry *prometheus.Registry }
 
-func (f factory) counter(name, help string) prometheus.Counter {
-	c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: prefix, Name: name, Help: help})
+func (f metricFactory) counter(name, help string) prometheus.Counter {
+	c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help})
 	f.registry.MustRegister(c)
 	return c
 }
 
-func (f factory) counters(name, help string, labels ...string) *prometheus.CounterVec {
-	c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: prefix, Name: name, Help: help}, labels)
+func (f metricFactory) counters(name, help string, labels ...string) *prometheus.CounterVec {
+	c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 	f.registry.MustRegister(c)
 	return c
 }
 
-func (f factory) gauge(name, help string) prometheus.Gauge {
-	g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: prefix, Name: name, Help: help})
+func (f metricFactory) gauge(name, help string) prometheus.Gauge {
+	g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
 	f.registry.MustRegister(g)
 	return g
 }
 
-func (f factory) gauges(name, help string, labels ...string) *prometheus.GaugeVec {
-	g := prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: prefix, Name: name, Help: help}, labels)
+func (f metricFactory) gauges(name, help string, labels ...string) *prometheus.GaugeVec {
+	g := prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, labels)
 	f.registry.MustRegister(g)
 	return g
 }
 
-func (f factory) histogram(name, help string) prometheus.Histogram {
-	h := prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: prefix, Name: name, Help: help, Buckets: waitBuckets})
+func (f metricFactory) histogram(name, help string) prometheus.Histogram {
+	h := prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: durationBuckets})
 	f.registry.MustRegister(h)
 	return h
 }
 
-func (f factory) histograms(name, help string, labels ...string) *prometheus.HistogramVec {
+func (f metricFactory) histograms(name, help string, labels ...string) *prometheus.HistogramVec {
 	h := prometheus.NewHistogramVec(prometheus.HistogramOpts{
-		Namespace: prefix, Name: name, Help: help, Buckets: waitBuckets,
+		Namespace: namespace, Name: name, Help: help, Buckets: durationBuckets,
 	}, labels)
 	f.registry.MustRegister(h)
 	return h
--- a/telemetry/peer.go
+++ b/telemetry/peer.go
@@ -7,7 +7,7 @@
 	"storj.io/drpc/drpcmetadata"
 )
 
-// ToPeer returns a context whose calls carry its trace to another router.
+// ToPeer returns a context whose calls to other routers propagate its trace.
 func ToPeer(ctx context.Context) context.Context {
 	carrier := propagation.MapCarrier{}
 	propagation.TraceContext{}.Inject(ctx, carrier)
@@ -17,8 +17,7 @@
 	return drpcmetadata.AddPairs(ctx, carrier)
 }
 
-// FromPeer returns a context that continues the trace that another router's call
-// carries.
+// FromPeer returns a context that continues the trace propagated by a call from another router.
 func FromPeer(ctx context.Context) context.Context {
 	pairs, ok := drpcmetadata.Get(ctx)
 	if !ok {
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -15,22 +15,22 @@
 	"github.com/tamarindstep/tamarindstep/kernel"
 )
 
-// TracesName is the name that the traces are found by.
+// TracesName is the name that the service is registered under.
 const TracesName = "traces"
 
-// Traces makes spans and sends them to a collector, where one is set.
+// Traces is the service that creates spans and exports them to a collector, if one is configured.
 type Traces struct {
 	router     string
-	endpoint   string // URL, "" for none
+	endpoint   string // URL, "" if none is configured
 	provider   *trace.TracerProvider
 	tracer     oteltrace.Tracer
 	propagator propagation.TraceContext
 }
 
-// NewTraces returns the service. With no endpoint the context that callers send
-// is passed on all the same, and no span is kept.
+// NewTraces returns the service. Without an endpoint it propagates the trace context of callers
+// but records no spans.
 func NewTraces(router, endpoint string) *Traces {
-	return &Traces{router: router, endpoint: endpoint, tracer: otel.Tracer(prefix)}
+	return &Traces{router: router, endpoint: endpoint, tracer: otel.Tracer(namespace)}
 }
 
 // Name implements kernel.Service.
@@ -51,9 +51,9 @@
 	t.provider = trace.NewTracerProvider(
 		trace.WithBatcher(exporter),
 		trace.WithResource(resource.NewSchemaless(
-			semconv.ServiceName(prefix), semconv.ServiceInstanceID(t.router))),
+			semconv.ServiceName(namespace), semconv.ServiceInstanceID(t.router))),
 	)
-	t.tracer = t.provider.Tracer(prefix)
+	t.tracer = t.provider.Tracer(namespace)
 	return nil
 }
 
@@ -70,17 +70,17 @@
 	return t.tracer.Start(ctx, name, oteltrace.WithSpanKind(kind))
 }
 
-// Extract returns a context that continues the trace of a caller's request.
+// Extract returns a context that continues the trace in a request header.
 func (t *Traces) Extract(ctx context.Context, h *fasthttp.RequestHeader) context.Context {
 	return t.propagator.Extract(ctx, headerCarrier{h})
 }
 
-// Inject lets a request continue the trace of a context.
+// Inject adds the trace of a context to a request header.
 func (t *Traces) Inject(ctx context.Context, h *fasthttp.RequestHeader) {
 	t.propagator.Inject(ctx, headerCarrier{h})
 }
 
-// headerCarrier is a request's head as the propagator sees it.
+// headerCarrier adapts a request header to propagation.TextMapCarrier.
 type headerCarrier struct{ h *fasthttp.RequestHeader }
 
 // Get implements propagation.TextMapCarrier.
