--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the operators: the administration API, health and
-// counters, on a listener of their own. Any router answers for the fleet.
+// Package admin serves the administration API, health checks and metrics for operators on a
+// separate listener. Every router serves the API for the whole fleet.
 package admin
 
 import (
@@ -33,56 +33,56 @@
 	"github.com/tamarindstep/tamarindstep/store"
 )
 
-// ServiceName is the name that the service is found by.
+// ServiceName is the name that the service is registered under.
 const ServiceName = "admin"
 
 const (
 	idleTimeout = time.Minute
 	readTimeout = 30 * time.Second
-	// writeStall is how long an operator's client may take nothing of its answer.
+	// writeStall is the maximum time without progress in writing an answer to an operator's client.
 	writeStall = 10 * time.Second
 )
 
 // The headers of the API.
 const (
 	GenerationHeader = "Tamarindstep-Generation"
-	BaseHeader       = "Tamarindstep-Base"     // the generation an apply builds on
-	ApplyHeader      = "Tamarindstep-Apply-Id" // the same for each try of an apply
-	FileHeader       = "Tamarindstep-File"     // the name to report findings under
+	BaseHeader       = "Tamarindstep-Base"     // the generation that an apply is based on
+	ApplyHeader      = "Tamarindstep-Apply-Id" // the same for every attempt of an apply
+	FileHeader       = "Tamarindstep-File"     // the file name used in findings
 )
 
-// The codes of errors.
+// The error codes.
 const (
-	CodeUnauthorized = "unauthorized"
-	CodeBadRequest   = "bad-request"
-	CodeInvalid      = "invalid"
-	CodeConflict     = "generation-conflict"
-	CodeUnavailable  = "store-unavailable"
-	CodeUnknown      = "apply-unknown"
-	CodeNothing      = "no-configuration"
-	CodeNoRouter     = "no-such-router"
+	CodeUnauthorized    = "unauthorized"
+	CodeBadRequest      = "bad-request"
+	CodeInvalid         = "invalid"
+	CodeConflict        = "generation-conflict"
+	CodeUnavailable     = "store-unavailable"
+	CodeUnknown         = "apply-unknown"
+	CodeNoConfiguration = "no-configuration"
+	CodeNoRouter        = "no-such-router"
 )
 
-// Error is the body of an answer that isn't what was asked for.
+// Error is the body of an error response.
 type Error struct {
 	Code     string       `json:"code"`
 	Message  string       `json:"message"`
 	Findings finding.List `json:"findings,omitempty"`
 }
 
-// Applied is the body of the answer to an apply.
+// Applied is the body of the response to an apply or a validation.
 type Applied struct {
 	Generation uint64       `json:"generation"`
 	Findings   finding.List `json:"findings"`
 }
 
-// Compared is the body of the answer to a comparison.
-type Compared struct {
+// DiffResult is the body of the response to a diff.
+type DiffResult struct {
 	Generation uint64          `json:"generation"`
 	Changes    []config.Change `json:"changes"`
 }
 
-// Policy is one entry of the list of policies.
+// Policy is an entry of the list of policies.
 type Policy struct {
 	Name    string `json:"name"`
 	Title   string `json:"title"`
@@ -91,30 +91,29 @@
 	InForce bool   `json:"in_force"`
 }
 
-// Service serves the operators.
+// Service serves the administration API.
 type Service struct {
 	listen   string
 	token    string
 	registry *prometheus.Registry
-	drained  func() bool
+	draining func() bool
 	profiles bool
 
-	status *status.Service
-	gens   *generation.Service
+	status      *status.Service
+	generations *generation.Service
 
 	server   *fasthttp.Server
 	listener net.Listener
-	ended    chan struct{}
+	done     chan struct{}
 }
 
-// New returns the service; drained tells whether the router is stopping.
-func New(listen, token string, registry *prometheus.Registry, drained func() bool) *Service {
-	return &Service{listen: listen, token: token, registry: registry, drained: drained, ended: make(chan struct{})}
+// New returns the service; draining reports whether the router is stopping.
+func New(listen, token string, registry *prometheus.Registry, draining func() bool) *Service {
+	return &Service{listen: listen, token: token, registry: registry, draining: draining, done: make(chan struct{})}
 }
 
-// ServeProfiles lets the service give out profiles of this process below /debug/pprof/, to
-// whoever has the operators' token or, where none is set, to all who reach the listener. It
-// must be called before the start.
+// ServeProfiles makes the service serve profiles of this process below /debug/pprof/. They require the
+// operators' token if one is set, and are public otherwise. It must be called before Start.
 func (s *Service) ServeProfiles() { s.profiles = true }
 
 // Name implements kernel.Service.
@@ -123,11 +122,11 @@
 // Needs implements kernel.Service.
 func (s *Service) Needs() []string { return []string{status.ServiceName, generation.ServiceName} }
 
-// serverOf returns a server whose requests, the first of a connection too, come within a time.
-func serverOf(handler fasthttp.RequestHandler, within time.Duration) *fasthttp.Server {
+// newServer returns a server with a timeout for reading a request, including the first one of a connection.
+func newServer(handler fasthttp.RequestHandler, timeout time.Duration) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: handler, Name: "tamarindstep", NoDefaultServerHeader: true,
-		MaxRequestBodySize: config.MaxSize, CloseOnShutdown: true, IdleTimeout: idleTimeout, ReadTimeout: within,
+		MaxRequestBodySize: config.MaxSize, CloseOnShutdown: true, IdleTimeout: idleTimeout, ReadTimeout: timeout,
 	}
 }
 
@@ -137,15 +136,15 @@
 	if s.status, err = kernel.Lookup[*status.Service](k, status.ServiceName); err != nil {
 		return err
 	}
-	if s.gens, err = kernel.Lookup[*generation.Service](k, generation.ServiceName); err != nil {
+	if s.generations, err = kernel.Lookup[*generation.Service](k, generation.ServiceName); err != nil {
 		return err
 	}
 	if s.listener, err = net.Listen("tcp", s.listen); err != nil {
 		return err
 	}
-	s.server = serverOf(s.routes().Handler, readTimeout)
+	s.server = newServer(s.routes().Handler, readTimeout)
 	go func() {
-		defer close(s.ended)
+		defer close(s.done)
 		_ = s.server.Serve(stall.Listener{Listener: socket.Patient{Listener: s.listener}, Patience: writeStall})
 	}()
 	return nil
@@ -154,7 +153,7 @@
 // Stop implements kernel.Service.
 func (s *Service) Stop(ctx context.Context) error {
 	err := s.server.ShutdownWithContext(ctx)
-	<-s.ended
+	<-s.done
 	return err
 }
 
@@ -164,24 +163,24 @@
 	r.GET("/readyz", s.ready)
 	r.GET("/metrics", s.metrics)
 	if s.profiles {
-		r.GET("/debug/pprof/{profile:*}", s.guardProfiles(pprofhandler.PprofHandler))
+		r.GET("/debug/pprof/{profile:*}", s.requireTokenIfSet(pprofhandler.PprofHandler))
 	}
-	r.GET("/admin/v1/configuration", s.guard(s.get))
-	r.PUT("/admin/v1/configuration", s.guard(s.apply))
-	r.POST("/admin/v1/validate", s.guard(s.validate))
-	r.POST("/admin/v1/diff", s.guard(s.diff))
-	r.GET("/admin/v1/status", s.guard(s.showStatus))
-	r.GET("/admin/v1/policies", s.guard(s.policies))
-	r.POST("/admin/v1/drain/{router}", s.guard(s.drain))
-	r.POST("/admin/v1/release/{request}", s.guard(s.release))
+	r.GET("/admin/v1/configuration", s.requireToken(s.getConfiguration))
+	r.PUT("/admin/v1/configuration", s.requireToken(s.apply))
+	r.POST("/admin/v1/validate", s.requireToken(s.validate))
+	r.POST("/admin/v1/diff", s.requireToken(s.diff))
+	r.GET("/admin/v1/status", s.requireToken(s.showStatus))
+	r.GET("/admin/v1/policies", s.requireToken(s.policies))
+	r.POST("/admin/v1/drain/{router}", s.requireToken(s.drain))
+	r.POST("/admin/v1/release/{request}", s.requireToken(s.release))
 	return r
 }
 
 func (s *Service) ready(ctx *fasthttp.RequestCtx) {
 	switch {
-	case s.drained():
+	case s.draining():
 		ctx.Error("draining\n", fasthttp.StatusServiceUnavailable)
-	case !s.gens.Ready():
+	case !s.generations.Ready():
 		ctx.Error("no configuration that is known to be recent\n", fasthttp.StatusServiceUnavailable)
 	default:
 		ctx.SetBodyString("ready\n")
@@ -204,27 +203,27 @@
 	}
 }
 
-// guard lets only those in who have the operators' token.
-func (s *Service) guard(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// requireToken returns a handler that rejects requests without the operators' token.
+func (s *Service) requireToken(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		token, _ := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 		if s.token == "" || subtle.ConstantTimeCompare([]byte(token), []byte(s.token)) != 1 {
-			fail(ctx, fasthttp.StatusUnauthorized, Error{Code: CodeUnauthorized, Message: "the operators' token is missing or wrong"})
+			writeError(ctx, fasthttp.StatusUnauthorized, Error{Code: CodeUnauthorized, Message: "the operators' token is missing or wrong"})
 			return
 		}
 		next(ctx)
 	}
 }
 
-// guardProfiles is guard where there is a token.
-func (s *Service) guardProfiles(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// requireTokenIfSet is like requireToken, but accepts all requests if no token is set.
+func (s *Service) requireTokenIfSet(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	if s.token == "" {
 		return next
 	}
-	return s.guard(next)
+	return s.requireToken(next)
 }
 
-func answer(ctx *fasthttp.RequestCtx, v any) {
+func writeJSON(ctx *fasthttp.RequestCtx, v any) {
 	ctx.SetContentType("application/json")
 	e := json.NewEncoder(ctx)
 	e.SetIndent("", "  ")
@@ -233,21 +232,21 @@
 	}
 }
 
-func fail(ctx *fasthttp.RequestCtx, code int, e Error) {
+func writeError(ctx *fasthttp.RequestCtx, code int, e Error) {
 	ctx.ResetBody()
 	ctx.SetStatusCode(code)
-	answer(ctx, e)
+	writeJSON(ctx, e)
 }
 
-func (s *Service) get(ctx *fasthttp.RequestCtx) {
-	d := s.gens.Document()
+func (s *Service) getConfiguration(ctx *fasthttp.RequestCtx) {
+	d := s.generations.Document()
 	if d == nil {
-		fail(ctx, fasthttp.StatusNotFound, Error{Code: CodeNothing, Message: "no configuration is in force"})
+		writeError(ctx, fasthttp.StatusNotFound, Error{Code: CodeNoConfiguration, Message: "no configuration is in force"})
 		return
 	}
 	text, err := config.DocumentText(d)
 	if err != nil {
-		fail(ctx, fasthttp.StatusInternalServerError, Error{Code: CodeUnavailable, Message: err.Error()})
+		writeError(ctx, fasthttp.StatusInternalServerError, Error{Code: CodeUnavailable, Message: err.Error()})
 		return
 	}
 	ctx.Response.Header.Set(GenerationHeader, strconv.FormatUint(d.Generation, 10))
@@ -265,36 +264,36 @@
 func (s *Service) validate(ctx *fasthttp.RequestCtx) {
 	_, findings := checks.File(fileName(ctx), ctx.PostBody())
 	if findings.Failed() {
-		fail(ctx, fasthttp.StatusUnprocessableEntity, invalid(findings))
+		writeError(ctx, fasthttp.StatusUnprocessableEntity, invalidFile(findings))
 		return
 	}
-	answer(ctx, Applied{Generation: s.gens.Document().GetGeneration(), Findings: findings})
+	writeJSON(ctx, Applied{Generation: s.generations.Document().GetGeneration(), Findings: findings})
 }
 
-func invalid(findings finding.List) Error {
+func invalidFile(findings finding.List) Error {
 	return Error{Code: CodeInvalid, Message: "the file has errors; nothing was applied", Findings: findings}
 }
 
 func (s *Service) diff(ctx *fasthttp.RequestCtx) {
 	f, findings := checks.File(fileName(ctx), ctx.PostBody())
 	if findings.Failed() {
-		fail(ctx, fasthttp.StatusUnprocessableEntity, invalid(findings))
+		writeError(ctx, fasthttp.StatusUnprocessableEntity, invalidFile(findings))
 		return
 	}
 	var before *config.File
-	out := Compared{}
-	if c := s.gens.InForce(); c != nil {
+	out := DiffResult{}
+	if c := s.generations.InForce(); c != nil {
 		before = c.File
 		out.Generation = c.Generation
 	}
 	out.Changes = config.Diff(before, f)
-	answer(ctx, out)
+	writeJSON(ctx, out)
 }
 
 func (s *Service) apply(ctx *fasthttp.RequestCtx) {
 	base, err := strconv.ParseUint(string(ctx.Request.Header.Peek(BaseHeader)), 10, 64)
 	if err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the header " + BaseHeader + " must be a generation"})
+		writeError(ctx, fasthttp.StatusBadRequest, Error{Code: CodeBadRequest, Message: "the header " + BaseHeader + " must be a generation"})
 		return
 	}
 	id := string(ctx.Request.Header.Peek(ApplyHeader))
@@ -303,47 +302,47 @@
 	}
 	_, findings := checks.File(fileName(ctx), ctx.PostBody())
 	if findings.Failed() {
-		fail(ctx, fasthttp.StatusUnprocessableEntity, invalid(findings))
+		writeError(ctx, fasthttp.StatusUnprocessableEntity, invalidFile(findings))
 		return
 	}
 	text := bytes.Clone(ctx.PostBody())
-	g, err := s.gens.Apply(context.Background(), generation.Apply{ID: id, Base: base, Text: text})
+	g, err := s.generations.Apply(context.Background(), generation.Apply{ID: id, Base: base, Text: text})
 	if err != nil {
-		failApply(ctx, err)
+		writeApplyError(ctx, err)
 		return
 	}
-	answer(ctx, Applied{Generation: g, Findings: findings})
+	writeJSON(ctx, Applied{Generation: g, Findings: findings})
 }
 
-func failApply(ctx *fasthttp.RequestCtx, err error) {
+func writeApplyError(ctx *fasthttp.RequestCtx, err error) {
 	var findings finding.List
 	switch {
 	case errors.As(err, &findings):
-		fail(ctx, fasthttp.StatusUnprocessableEntity, invalid(findings))
+		writeError(ctx, fasthttp.StatusUnprocessableEntity, invalidFile(findings))
 	case errorx.IsOfType(err, generation.Conflict):
-		fail(ctx, fasthttp.StatusConflict, Error{Code: CodeConflict, Message: err.Error()})
+		writeError(ctx, fasthttp.StatusConflict, Error{Code: CodeConflict, Message: err.Error()})
 	case errorx.IsOfType(err, generation.Unknown):
-		fail(ctx, fasthttp.StatusGatewayTimeout, Error{Code: CodeUnknown, Message: err.Error()})
+		writeError(ctx, fasthttp.StatusGatewayTimeout, Error{Code: CodeUnknown, Message: err.Error()})
 	case errorx.IsOfType(err, store.Unavailable):
-		fail(ctx, fasthttp.StatusServiceUnavailable, Error{Code: CodeUnavailable, Message: err.Error()})
+		writeError(ctx, fasthttp.StatusServiceUnavailable, Error{Code: CodeUnavailable, Message: err.Error()})
 	default:
-		fail(ctx, fasthttp.StatusInternalServerError, Error{Code: CodeUnavailable, Message: err.Error()})
+		writeError(ctx, fasthttp.StatusInternalServerError, Error{Code: CodeUnavailable, Message: err.Error()})
 	}
 }
 
 func (s *Service) showStatus(ctx *fasthttp.RequestCtx) {
-	answer(ctx, s.status.Gather(context.Background()))
+	writeJSON(ctx, s.status.Gather(context.Background()))
 }
 
 func (s *Service) policies(ctx *fasthttp.RequestCtx) {
 	inForce := policies.Default.Name
-	if c := s.gens.InForce(); c != nil {
+	if c := s.generations.InForce(); c != nil {
 		inForce = c.Core.Policy.Name
 	}
-	answer(ctx, Policies(inForce))
+	writeJSON(ctx, Policies(inForce))
 }
 
-// Policies lists the policies, and marks the one in force.
+// Policies returns all policies and marks the one in force.
 func Policies(inForce string) []Policy {
 	var out []Policy
 	for _, p := range policies.All {
@@ -354,12 +353,12 @@
 	return out
 }
 
-// release clears a request of what is held against it.
+// release clears the record of backend servers ended by a request.
 func (s *Service) release(ctx *fasthttp.RequestCtx) {
 	text, _ := ctx.UserValue("request").(string)
 	f, err := model.ParseFingerprint(text)
 	if err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, Error{Code: CodeBadRequest, Message: err.Error()})
+		writeError(ctx, fasthttp.StatusBadRequest, Error{Code: CodeBadRequest, Message: err.Error()})
 		return
 	}
 	s.status.Release(f)
@@ -369,7 +368,7 @@
 func (s *Service) drain(ctx *fasthttp.RequestCtx) {
 	name, _ := ctx.UserValue("router").(string)
 	if err := s.status.DrainRouter(context.Background(), name); err != nil {
-		fail(ctx, fasthttp.StatusNotFound, Error{Code: CodeNoRouter, Message: err.Error()})
+		writeError(ctx, fasthttp.StatusNotFound, Error{Code: CodeNoRouter, Message: err.Error()})
 		return
 	}
 	ctx.SetStatusCode(fasthttp.StatusAccepted)
--- a/config/check/check.go
+++ b/config/check/check.go
@@ -29,13 +29,13 @@
 // Pass is one run of a check on a file.
 type Pass struct {
 	File      *config.File
-	positions strictyaml.Places
+	positions strictyaml.Positions
 	check     *Check
 	findings  finding.List
 }
 
 // Run runs a check and returns its findings.
-func Run(c *Check, f *config.File, positions strictyaml.Places) finding.List {
+func Run(c *Check, f *config.File, positions strictyaml.Positions) finding.List {
 	p := &Pass{File: f, positions: positions, check: c}
 	c.Run(p)
 	return p.findings
--- a/config/compile.go
+++ b/config/compile.go
@@ -61,7 +61,7 @@
 
 // PoolShare is the fraction of a route's requests that a pool serves, from 0 to 1.
 type PoolShare struct {
-	Pool model.PoolID
+	Pool     model.PoolID
 	Fraction float64
 }
 
--- a/config/config.go
+++ b/config/config.go
@@ -160,8 +160,8 @@
 
 // Read parses a file and returns it with the positions of its values and the findings
 // on its syntax and structure.
-func Read(name string, data []byte) (*File, strictyaml.Places, finding.List) {
+func Read(name string, data []byte) (*File, strictyaml.Positions, finding.List) {
 	f := &File{}
-	places, findings := strictyaml.Read(name, data, f)
-	return f, places, findings
+	positions, findings := strictyaml.Read(name, data, f)
+	return f, positions, findings
 }
--- a/ctl/client.go
+++ b/ctl/client.go
@@ -15,23 +15,23 @@
 
 const callTimeout = 15 * time.Second
 
-// The errors of the command line, each with an exit code of its own.
+// The errors of the command line, each with its own exit code.
 var (
 	namespace = errorx.NewNamespace("ctl")
-	// Refused is the error for what a router refused to do.
+	// Refused is the error for an operation that a router refused.
 	Refused = namespace.NewType("refused")
-	// Unreached is the error for a router that doesn't answer.
+	// Unreached is the error for a router that can't be reached.
 	Unreached = namespace.NewType("unreached")
-	// Lost is the error for an answer that was lost: what was asked may have
-	// taken hold.
+	// Lost is the error for a lost response: the operation may or may not have
+	// taken effect.
 	Lost = namespace.NewType("lost")
-	// Conflicted is the error for an apply that came after another.
+	// Conflicted is the error for an apply that was preceded by another one.
 	Conflicted = namespace.NewType("conflicted")
-	// Invalid is the error for a file with errors in it.
+	// Invalid is the error for an invalid file.
 	Invalid = namespace.NewType("invalid")
 )
 
-// client speaks to a router's administration API.
+// client is a client of a router's administration API.
 type client struct {
 	address string
 	token   string
@@ -45,15 +45,15 @@
 	}}
 }
 
-// reply is a router's answer.
-type reply struct {
+// response is the response of a router.
+type response struct {
 	status     int
 	generation uint64
 	body       []byte
 }
 
-// call makes one call; headers come in pairs of name and value.
-func (c *client) call(method, path string, body []byte, headers ...string) (*reply, error) {
+// call makes a request; headers are pairs of name and value.
+func (c *client) call(method, path string, body []byte, headers ...string) (*response, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
@@ -66,19 +66,19 @@
 	}
 	req.SetBody(body)
 	if err := c.http.Do(req, resp); err != nil {
-		if !isDial(err) {
+		if !isDialError(err) {
 			return nil, Lost.Wrap(err, "router %s doesn't answer", c.address)
 		}
 		return nil, Unreached.Wrap(err, "router %s doesn't answer", c.address)
 	}
 	generation, _ := strconv.ParseUint(string(resp.Header.Peek(admin.GenerationHeader)), 10, 64)
-	return &reply{
+	return &response{
 		status: resp.StatusCode(), generation: generation, body: append([]byte(nil), resp.Body()...),
 	}, nil
 }
 
-// into reads an answer, or the error that came in its place.
-func (r *reply) into(out any) (*admin.Error, error) {
+// decode decodes the body of a successful response into out, or returns the error it contains.
+func (r *response) decode(out any) (*admin.Error, error) {
 	if r.status < fasthttp.StatusBadRequest {
 		if out == nil {
 			return nil, nil
@@ -89,10 +89,10 @@
 	if err := json.Unmarshal(r.body, &e); err != nil {
 		return nil, Refused.New("status %d: %s", r.status, r.body)
 	}
-	return &e, errorOf(&e)
+	return &e, toError(&e)
 }
 
-func errorOf(e *admin.Error) error {
+func toError(e *admin.Error) error {
 	switch e.Code {
 	case admin.CodeInvalid:
 		return Invalid.New("%s", e.Message)
@@ -106,8 +106,8 @@
 	return Refused.New("%s: %s", e.Code, e.Message)
 }
 
-// isDial tells whether a call failed before a connection was made.
-func isDial(err error) bool {
+// isDialError reports whether a call failed before a connection was established.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.Is(err, fasthttp.ErrDialTimeout) || errors.As(err, &op) && op.Op == "dial"
 }
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line.
+// Package ctl implements tamarindctl, the operators' command line tool.
 package ctl
 
 import (
@@ -25,8 +25,8 @@
 	ExitUsage     = 1 // the command line is wrong, or the router refused
 	ExitInvalid   = 2 // the file has errors
 	ExitConflict  = 3 // another apply came first
-	ExitUnreached = 4 // no router or no store answered; nothing was done
-	ExitLost      = 5 // it isn't known whether the apply took hold
+	ExitUnreached = 4 // no router or no store was reachable; nothing was done
+	ExitLost      = 5 // it is unknown whether the apply took effect
 )
 
 const exitHelp = `Exit codes:
@@ -55,7 +55,7 @@
 	return exitCode(err)
 }
 
-// errReported is the error for findings that have been printed.
+// errReported is the error for findings that have already been printed.
 var errReported = errors.New("the file has errors")
 
 func exitCode(err error) int {
@@ -74,12 +74,12 @@
 	return ExitUsage
 }
 
-// options are the flags that all commands share.
+// options are the flags common to all commands.
 type options struct {
 	output string
 }
 
-// NewCommand returns the command line.
+// NewCommand returns the root command.
 func NewCommand() *cobra.Command {
 	o := &options{}
 	c := &cobra.Command{
@@ -97,7 +97,7 @@
 	return c
 }
 
-// connect reads the settings that reach a router.
+// connect returns a client for the router given by the settings.
 func (o *options) connect(cmd *cobra.Command) (*client, error) {
 	r, err := settings.NewReader(cmd.Flags())
 	if err != nil {
@@ -111,7 +111,7 @@
 	return newClient(address, token), nil
 }
 
-// report prints findings and fails where one is an error.
+// report prints findings and returns errReported if one is an error.
 func (o *options) report(cmd *cobra.Command, findings finding.List) error {
 	format, ok := finding.Formatters[o.output]
 	if !ok {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// print prints a value as JSON, or by text.
+// print prints a value as JSON or calls text, depending on the output format.
 func (o *options) print(cmd *cobra.Command, v any, text func(io.Writer)) error {
 	switch o.output {
 	case "json":
@@ -142,7 +142,7 @@
 	return fmt.Errorf("--output: %q is neither text nor json", o.output)
 }
 
-// readFile reads an operators' file and checks it, before any router is asked.
+// readFile reads an operators' file and checks it locally.
 func (o *options) readFile(cmd *cobra.Command, name string) ([]byte, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -188,8 +188,8 @@
 			if err != nil {
 				return err
 			}
-			var out admin.Compared
-			if _, err := r.into(&out); err != nil {
+			var out admin.DiffResult
+			if _, err := r.decode(&out); err != nil {
 				return err
 			}
 			return o.print(cmd, out, func(w io.Writer) { printDiff(w, out) })
@@ -238,20 +238,20 @@
 	return c
 }
 
-// applyTries is how often an apply whose outcome was lost is made again.
-const applyTries = 3
+// applyAttempts is the maximum number of attempts of an apply whose response is lost.
+const applyAttempts = 3
 
-// apply applies a file; a try whose answer is lost is made again under the same
-// identifier, which can take hold only once.
+// apply applies a file. If the response is lost, it tries again with the same identifier,
+// which can take effect only once.
 func (c *client) apply(name string, text []byte, base int64, id string) (admin.Applied, error) {
 	var out admin.Applied
 	var err error
-	for range applyTries {
-		var r *reply
+	for range applyAttempts {
+		var r *response
 		r, err = c.call("PUT", "/admin/v1/configuration", text,
 			admin.BaseHeader, fmt.Sprint(base), admin.ApplyHeader, id, admin.FileHeader, name)
 		if err == nil {
-			_, err = r.into(&out)
+			_, err = r.decode(&out)
 		}
 		if !errorx.IsOfType(err, Lost) {
 			break
@@ -272,7 +272,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := r.into(nil); err != nil {
+			if _, err := r.decode(nil); err != nil {
 				return err
 			}
 			out := struct {
@@ -306,15 +306,15 @@
 }
 
 func (o *options) release() *cobra.Command {
-	return o.order("release REQUEST", "Let a request through that is held back, by its fingerprint", "/admin/v1/release/")
+	return o.postCommand("release REQUEST", "Let a request through that is held back, by its fingerprint", "/admin/v1/release/")
 }
 
 func (o *options) drain() *cobra.Command {
-	return o.order("drain ROUTER", "Let a router finish its requests and stop", "/admin/v1/drain/")
+	return o.postCommand("drain ROUTER", "Let a router finish its requests and stop", "/admin/v1/drain/")
 }
 
-// order returns a command that gives an order about what its one argument names.
-func (o *options) order(use, short, path string) *cobra.Command {
+// postCommand returns a command that sends a POST request to path with its argument appended.
+func (o *options) postCommand(use, short, path string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -326,7 +326,7 @@
 			if err != nil {
 				return err
 			}
-			_, err = r.into(nil)
+			_, err = r.decode(nil)
 			return err
 		},
 	}
@@ -346,7 +346,7 @@
 				if err != nil {
 					return err
 				}
-				if _, err := answer.into(&out); err != nil {
+				if _, err := answer.decode(&out); err != nil {
 					return err
 				}
 			}
--- a/ctl/evacuate.go
+++ b/ctl/evacuate.go
@@ -30,10 +30,10 @@
 		if err != nil {
 			return err
 		}
-		if _, err := r.into(nil); err != nil {
+		if _, err := r.decode(nil); err != nil {
 			return err
 		}
-		text, err := evacuated(r.body, args[0], back)
+		text, err := changeEvacuated(r.body, args[0], back)
 		if err != nil {
 			return err
 		}
@@ -46,8 +46,8 @@
 	return c
 }
 
-// evacuated returns a file's text with a data hall evacuated, or taken back.
-func evacuated(text []byte, hall string, back bool) ([]byte, error) {
+// changeEvacuated returns a file's text with a data hall added to the evacuated ones, or removed from them.
+func changeEvacuated(text []byte, hall string, back bool) ([]byte, error) {
 	f, _, findings := config.Read("", text)
 	if findings.Failed() {
 		return nil, Invalid.New("the file in force can't be read")
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -26,7 +26,7 @@
   TAKEN       bytes of an answer that its caller's connection took before it broke off
   RESTED      ms that the connection had rested before the request`
 
-// explainOptions are the flags of the command.
+// explainOptions are the flags of the explain command.
 type explainOptions struct {
 	request, account, route string
 	plot                    string
@@ -89,12 +89,12 @@
 	return nil
 }
 
-// progressEvery is after how many logs it is told how far the reading has come.
-const progressEvery = 20
+// progressInterval is the number of logs between two progress messages.
+const progressInterval = 20
 
-// progress tells how far the reading of many logs has come.
+// progress prints the progress of reading many logs.
 func progress(w io.Writer, read, all, lines int) {
-	if read%progressEvery == 0 && all > progressEvery {
+	if read%progressInterval == 0 && all > progressInterval {
 		fmt.Fprintf(w, "%d of %d logs read, %d lines on requests\n", read, all, lines)
 	}
 }
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file is only read
 	if err := log.Read(file); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -130,10 +130,10 @@
 
 func (e *explainOptions) printRefusals(w io.Writer, all []explain.Refusals) {
 	rows := [][]any{{"REFUSED", "ROUTE", "ACCOUNT", "REASON", "OVER SHARE", "SHARE HAD", "EXPECTED MS"}}
-	left := 0
+	omitted := 0
 	for i, r := range all {
 		if e.top > 0 && i >= e.top {
-			left += r.Count
+			omitted += r.Count
 			continue
 		}
 		rows = append(rows, []any{
@@ -141,8 +141,8 @@
 		})
 	}
 	table(w, rows)
-	if left > 0 {
-		fmt.Fprintf(w, "%d more in %d rows; --top 0 prints all\n", left, len(all)-e.top)
+	if omitted > 0 {
+		fmt.Fprintf(w, "%d more in %d rows; --top 0 prints all\n", omitted, len(all)-e.top)
 	}
 }
 
@@ -159,7 +159,7 @@
 	table(w, rows)
 }
 
-// printBroken prints the answers that broke off towards their callers, where there are any.
+// printBroken prints the interrupted answers, if there are any.
 func printBroken(w io.Writer, all []explain.BrokenAnswers) {
 	if len(all) == 0 {
 		return
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -12,13 +12,13 @@
 	"github.com/tamarindstep/tamarindstep/status"
 )
 
-func readStatus(r *reply) (status.Fleet, error) {
+func readStatus(r *response) (status.Fleet, error) {
 	var out status.Fleet
-	_, err := r.into(&out)
+	_, err := r.decode(&out)
 	return out, err
 }
 
-// table writes rows in columns; the first is the head.
+// table writes rows in aligned columns; the first row is the header.
 func table(w io.Writer, rows [][]any) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
@@ -33,7 +33,7 @@
 	_ = t.Flush()
 }
 
-func printDiff(w io.Writer, out admin.Compared) {
+func printDiff(w io.Writer, out admin.DiffResult) {
 	if len(out.Changes) == 0 {
 		fmt.Fprintf(w, "no difference from generation %d\n", out.Generation)
 		return
@@ -58,13 +58,13 @@
 	}
 }
 
-// seconds prints a time given in ms.
-func seconds(ms uint32) string {
+// formatSeconds formats a duration in milliseconds, rounded to seconds.
+func formatSeconds(ms uint32) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String()
 }
 
-// started prints when a run of a backend server started by its own clock, "" where it doesn't say.
-func started(bornMS uint64) string {
+// formatStart formats the start time of a backend server by its own clock, "" if it is unknown.
+func formatStart(bornMS uint64) string {
 	if bornMS == 0 {
 		return ""
 	}
@@ -80,7 +80,7 @@
 	fmt.Fprintln(w)
 	rows = [][]any{{"BACKEND SERVER", "POOL", "OWNER", "SLOTS", "LIMIT", "OCCUPIED", "LEAVING", "EVACUATED", "STARTED"}}
 	for _, b := range f.Backends {
-		rows = append(rows, []any{b.Name, b.Pool, b.Owner, b.Slots, b.Limit, b.Occupied, b.Leaving, b.Evacuated, started(b.BornMS)})
+		rows = append(rows, []any{b.Name, b.Pool, b.Owner, b.Slots, b.Limit, b.Occupied, b.Leaving, b.Evacuated, formatStart(b.BornMS)})
 	}
 	table(w, rows)
 	fmt.Fprintln(w)
@@ -94,7 +94,7 @@
 		fmt.Fprintln(w, "\nheld back, as backend servers ended under them:")
 		rows = [][]any{{"REQUEST", "ACCOUNT", "SERVERS ENDED", "SINCE", "TRIED IN", "ROUTERS"}}
 		for _, h := range f.Held {
-			rows = append(rows, []any{h.Fingerprint, h.Account, h.Ends, seconds(h.SinceMS), seconds(h.TryMS), h.Routers})
+			rows = append(rows, []any{h.Fingerprint, h.Account, h.Ends, formatSeconds(h.SinceMS), formatSeconds(h.TryMS), h.Routers})
 		}
 		table(w, rows)
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,9 @@
-// Package clock is the time by which ages and bounds count.
+// Package clock provides a monotonic clock that includes time during which the VM is suspended.
 //
-// The steady clock of the runtime stands still while a machine is suspended, and so does everything that
-// is measured by it: a lease, a deadline, a belief about another process would be as fresh after an hour of
-// sleep as before. The time of day counts on, but is stepped. Linux has a third, CLOCK_BOOTTIME, that is
-// steady and counts sleep. Reading it takes a system call, so that a Clock reads it now and then (Look) and adds
-// what was slept to the steady clock in between.
+// The runtime's monotonic clock stops while a VM is suspended. Leases, deadlines and the ages of other processes'
+// states that are measured with it would not advance during a suspension of an hour. The wall clock advances, but may
+// be set. CLOCK_BOOTTIME of Linux is monotonic and includes suspensions, but reading it requires a system call.
+// Therefore a Clock reads it from time to time (see Look) and adds the time of suspensions to the monotonic clock.
 package clock
 
 import (
@@ -15,24 +14,25 @@
 )
 
 const (
-	// lookEvery is how often the boot clock is read at the most: a sleep is noticed that much late.
-	lookEvery = 50 * time.Millisecond
-	// shortest is the shortest sleep that counts. The two clocks aren't read at one moment, between which a
-	// busy process may lose its processor.
-	shortest = 100 * time.Millisecond
+	// minReadInterval is the minimum time between reads of the boot clock, and thus the delay until a suspension is
+	// detected.
+	minReadInterval = 50 * time.Millisecond
+	// minSuspension is the minimum length of a suspension. The two clocks aren't read at the same time, and a busy
+	// process may be descheduled between the two reads.
+	minSuspension = 100 * time.Millisecond
 )
 
-// Clock counts time, sleep included, from its own beginning.
+// Clock is a monotonic clock that includes suspensions and starts at 0.
 type Clock struct {
-	steady func() time.Duration
-	boot   func() (time.Duration, error)
+	monotonic func() time.Duration
+	boot      func() (time.Duration, error)
 
-	asleep atomic.Int64 // in ns, since the beginning
-	looked atomic.Int64 // steady time of the last look, in ns
-	ahead  time.Duration
+	suspended  atomic.Int64 // total time of suspensions, in ns
+	lastRead   atomic.Int64 // monotonic time of the last read of the boot clock, in ns
+	bootOffset time.Duration
 }
 
-// System is the machine's.
+// System is the clock of the VM.
 var System = newSystem()
 
 func newSystem() *Clock {
@@ -40,7 +40,7 @@
 	return New(func() time.Duration { return time.Since(began) }, bootTime)
 }
 
-// bootTime reads CLOCK_BOOTTIME.
+// bootTime returns the value of CLOCK_BOOTTIME.
 func bootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -49,41 +49,41 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// New returns a clock that rests on a steady one and one that counts sleep as well. Where the second one
-// can't be read, no sleep is noticed.
-func New(steady func() time.Duration, boot func() (time.Duration, error)) *Clock {
-	c := &Clock{steady: steady, boot: boot}
+// New returns a clock based on a monotonic clock and on a boot clock that includes suspensions. If the boot clock
+// returns an error, suspensions are not detected.
+func New(monotonic func() time.Duration, boot func() (time.Duration, error)) *Clock {
+	c := &Clock{monotonic: monotonic, boot: boot}
 	if at, err := boot(); err == nil {
-		c.ahead = at - steady()
+		c.bootOffset = at - monotonic()
 	}
 	return c
 }
 
-// Now returns the time since the clock's beginning. It may be called from any goroutine.
-func (c *Clock) Now() time.Duration { return c.steady() + time.Duration(c.asleep.Load()) }
+// Now returns the time since the start of the clock. It is safe for concurrent use.
+func (c *Clock) Now() time.Duration { return c.monotonic() + time.Duration(c.suspended.Load()) }
 
-// Since returns how long ago a reading was taken.
+// Since returns the time elapsed since at.
 func (c *Clock) Since(at time.Duration) time.Duration { return c.Now() - at }
 
-// Until returns how long it is until a time.
+// Until returns the time remaining until at.
 func (c *Clock) Until(at time.Duration) time.Duration { return at - c.Now() }
 
-// Look reads the boot clock, if it wasn't read just before, and returns how long the machine has slept since.
-// One goroutine of a process calls it.
+// Look reads the boot clock, unless it was read within the minimum interval, and returns the time of suspensions
+// since the previous read. It must be called by only one goroutine.
 func (c *Clock) Look() time.Duration {
-	steady := c.steady()
-	if steady-time.Duration(c.looked.Load()) < lookEvery {
+	monotonic := c.monotonic()
+	if monotonic-time.Duration(c.lastRead.Load()) < minReadInterval {
 		return 0
 	}
-	c.looked.Store(int64(steady))
+	c.lastRead.Store(int64(monotonic))
 	boot, err := c.boot()
 	if err != nil {
 		return 0
 	}
-	slept := boot - steady - c.ahead - time.Duration(c.asleep.Load())
-	if slept < shortest {
+	newlySuspended := boot - monotonic - c.bootOffset - time.Duration(c.suspended.Load())
+	if newlySuspended < minSuspension {
 		return 0
 	}
-	c.asleep.Add(int64(slept))
-	return slept
+	c.suspended.Add(int64(newlySuspended))
+	return newlySuspended
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,64 +8,64 @@
 	"github.com/matryer/is"
 )
 
-// machine is a machine that can be suspended.
-type machine struct {
-	awake, asleep time.Duration
-	blind         bool // its boot clock can't be read
+// fakeVM is a VM that can be suspended.
+type fakeVM struct {
+	running, suspended time.Duration
+	noBootClock        bool // reading its boot clock fails
 }
 
-func (m *machine) clock() *Clock {
-	return New(func() time.Duration { return m.awake }, func() (time.Duration, error) {
-		if m.blind {
+func (m *fakeVM) clock() *Clock {
+	return New(func() time.Duration { return m.running }, func() (time.Duration, error) {
+		if m.noBootClock {
 			return 0, errors.New("no such clock")
 		}
-		return time.Hour + m.awake + m.asleep, nil
+		return time.Hour + m.running + m.suspended, nil
 	})
 }
 
-func TestSleepCounts(t *testing.T) {
+func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
-	m := &machine{}
+	m := &fakeVM{}
 	c := m.clock()
 	at := c.Now()
-	m.awake += time.Second
+	m.running += time.Second
 	is.Equal(c.Look(), time.Duration(0))
 	is.Equal(c.Since(at), time.Second)
-	m.asleep += 5 * time.Second
-	m.awake += lookEvery
+	m.suspended += 5 * time.Second
+	m.running += minReadInterval
 	is.Equal(c.Look(), 5*time.Second)
-	is.Equal(c.Since(at), 6*time.Second+lookEvery)
-	is.Equal(c.Until(at+7*time.Second), time.Second-lookEvery)
-	m.awake += lookEvery
-	is.Equal(c.Look(), time.Duration(0)) // told once
-	m.asleep += 2 * time.Second
-	m.awake += lookEvery
+	is.Equal(c.Since(at), 6*time.Second+minReadInterval)
+	is.Equal(c.Until(at+7*time.Second), time.Second-minReadInterval)
+	m.running += minReadInterval
+	is.Equal(c.Look(), time.Duration(0)) // reported once
+	m.suspended += 2 * time.Second
+	m.running += minReadInterval
 	is.Equal(c.Look(), 2*time.Second)
 }
 
-func TestClocksThatDifferALittleAreNotSleep(t *testing.T) {
+func TestSmallDifferencesAreNotSuspensions(t *testing.T) {
 	is := is.New(t)
-	m := &machine{}
+	m := &fakeVM{}
 	c := m.clock()
-	m.awake += time.Second
-	m.asleep = shortest / 2
+	m.running += time.Second
+	m.suspended = minSuspension / 2
 	is.Equal(c.Look(), time.Duration(0))
 	is.Equal(c.Now(), time.Second)
 }
 
-func TestWithoutTheBootClockTimeIsSteady(t *testing.T) {
+func TestWithoutBootClockTimeIsMonotonic(t *testing.T) {
 	is := is.New(t)
-	m := &machine{blind: true}
+	m := &fakeVM{noBootClock: true}
 	c := m.clock()
-	m.awake += time.Second
+	m.running += time.Second
 	is.Equal(c.Look(), time.Duration(0))
 	is.Equal(c.Now(), time.Second)
 }
 
-func TestTheMachinesClockRuns(t *testing.T) {
+func TestSystemClockRuns(t *testing.T) {
 	is := is.New(t)
 	at := System.Now()
-	time.Sleep(2 * lookEvery)
+	time.Sleep(2 * minReadInterval)
 	System.Look()
-	is.True(System.Since(at) >= 2*lookEvery)
+	is.True(System.Since(at) >= 2*minReadInterval)
 }
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,4 +1,4 @@
-// Package eventqueue is virtual time: what is planned happens in order, and time passes from
+// Package eventqueue implements virtual time. Scheduled events run in order, and time advances from
 // one event to the next.
 package eventqueue
 
@@ -9,8 +9,8 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// event is something that happens at a time; of two at one time, the one that
-// was planned first goes first.
+// event is a function scheduled for a time. Events with the same time run in the order
+// in which they were scheduled.
 type event struct {
 	at  model.Time
 	seq uint64
@@ -41,31 +41,31 @@
 	return last
 }
 
-// Queue is a time and what is planned for later.
+// Queue is a virtual clock with a queue of scheduled events.
 type Queue struct {
 	now    model.Time
 	seq    uint64
 	events events
 }
 
-// Now returns the time.
-func (a *Queue) Now() model.Time { return a.now }
+// Now returns the current virtual time.
+func (q *Queue) Now() model.Time { return q.now }
 
-// At plans something; a time that has passed is taken for now.
-func (a *Queue) At(t model.Time, do func()) {
-	a.seq++
-	heap.Push(&a.events, event{max(t, a.now), a.seq, do})
+// At schedules do for time t, or for now if t has passed.
+func (q *Queue) At(t model.Time, do func()) {
+	q.seq++
+	heap.Push(&q.events, event{max(t, q.now), q.seq, do})
 }
 
-// After plans something for so much later.
-func (a *Queue) After(d time.Duration, do func()) { a.At(a.now+d, do) }
+// After schedules do for d after now.
+func (q *Queue) After(d time.Duration, do func()) { q.At(q.now+d, do) }
 
-// Run lets time pass until then, with all that is planned for it.
-func (a *Queue) Run(until model.Time) {
-	for len(a.events) > 0 && a.events[0].at <= until {
-		e := heap.Pop(&a.events).(event)
-		a.now = e.at
+// Run runs all events up to a time, in order, and advances the clock to it.
+func (q *Queue) Run(until model.Time) {
+	for len(q.events) > 0 && q.events[0].at <= until {
+		e := heap.Pop(&q.events).(event)
+		q.now = e.at
 		e.do()
 	}
-	a.now = until
+	q.now = until
 }
--- a/internal/standincmd/standincmd.go
+++ b/internal/standincmd/standincmd.go
@@ -1,4 +1,4 @@
-// Package standincmd is the command line of the stand-ins.
+// Package standincmd implements the command line of the stand-ins for the platform and the backend servers.
 package standincmd
 
 import (
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// serve runs a handler until the process is told to stop.
+// serve runs a handler until the process receives SIGTERM or SIGINT.
 func serve(cmd *cobra.Command, listen string, handler fasthttp.RequestHandler) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,5 +1,5 @@
-// Package strictyaml reads YAML into structs, strictly, and reports everything
-// that doesn't fit, each with its place.
+// Package strictyaml decodes YAML strictly into structs, and reports all errors with
+// their positions.
 package strictyaml
 
 import (
@@ -23,11 +23,11 @@
 	CodeMissing   = "TS1004"
 )
 
-// Places holds where each value stands, by its path, such as "accounts[2].weight".
-type Places map[string]finding.Position
+// Positions maps the path of each value, such as "accounts[2].weight", to its position.
+type Positions map[string]finding.Position
 
-// At returns the place of a path, or of the nearest value around it.
-func (p Places) At(path string) finding.Position {
+// At returns the position of the value with a path, or of the innermost value that contains it.
+func (p Positions) At(path string) finding.Position {
 	for path != "" {
 		if position, ok := p[path]; ok {
 			return position
@@ -42,26 +42,26 @@
 }
 
 type reader struct {
-	file     string
-	places   Places
-	findings finding.List
+	file      string
+	positions Positions
+	findings  finding.List
 }
 
-// Read reads a document into the struct that out points to. Fields are named
-// by their yaml tag, where ",required" marks one that must be given.
-func Read(file string, data []byte, out any) (Places, finding.List) {
-	r := &reader{file: file, places: Places{"": {File: file, Line: 1, Column: 1}}}
+// Read decodes a document into the struct that out points to. Each field needs a yaml tag with
+// its name, followed by ",required" if it is required.
+func Read(file string, data []byte, out any) (Positions, finding.List) {
+	r := &reader{file: file, positions: Positions{"": {File: file, Line: 1, Column: 1}}}
 	parsed, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
 		r.syntax(err)
-		return r.places, r.findings
+		return r.positions, r.findings
 	}
 	if len(parsed.Docs) != 1 || parsed.Docs[0].Body == nil {
-		r.add(CodeSyntax, r.places[""], "the file must hold exactly one document")
-		return r.places, r.findings
+		r.add(CodeSyntax, r.positions[""], "the file must hold exactly one document")
+		return r.positions, r.findings
 	}
 	r.value("", parsed.Docs[0].Body, reflect.ValueOf(out).Elem())
-	return r.places, r.findings
+	return r.positions, r.findings
 }
 
 func (r *reader) add(code string, at finding.Position, format string, args ...any) {
@@ -70,7 +70,7 @@
 	})
 }
 
-// syntax reports what the parser refused; its message begins with [LINE:COLUMN].
+// syntax reports an error of the parser, whose message begins with [LINE:COLUMN].
 func (r *reader) syntax(err error) {
 	at := finding.Position{File: r.file, Line: 1, Column: 1}
 	message, _, _ := strings.Cut(err.Error(), "\n")
@@ -86,7 +86,7 @@
 		token = m.Values[0].Key.GetToken()
 	}
 	if token == nil || token.Position == nil {
-		return r.places[""]
+		return r.positions[""]
 	}
 	return finding.Position{File: r.file, Line: token.Position.Line, Column: token.Position.Column}
 }
@@ -94,7 +94,7 @@
 func (r *reader) value(path string, n ast.Node, v reflect.Value) {
 	at := r.position(n)
 	if path != "" {
-		r.places[path] = at
+		r.positions[path] = at
 	}
 	switch {
 	case v.Type() == reflect.TypeFor[time.Duration]():
@@ -116,7 +116,7 @@
 	case *ast.MappingValueNode:
 		values = []*ast.MappingValueNode{n}
 	default:
-		r.add(CodeType, r.position(n), "%s must be a mapping", name(path))
+		r.add(CodeType, r.position(n), "%s must be a mapping", displayName(path))
 		return
 	}
 	given := map[string]bool{}
@@ -126,7 +126,7 @@
 	for i := range v.NumField() {
 		field, required := fieldName(v.Type().Field(i))
 		if required && !given[field] {
-			r.add(CodeMissing, r.position(n), "%s lacks %q", name(path), field)
+			r.add(CodeMissing, r.position(n), "%s lacks %q", displayName(path), field)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 			return
 		}
 	}
-	r.add(CodeUnknown, at, "%s has no field %q", name(path), key)
+	r.add(CodeUnknown, at, "%s has no field %q", displayName(path), key)
 }
 
 func (r *reader) sequence(path string, n ast.Node, v reflect.Value) {
@@ -154,7 +154,7 @@
 	}
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
-		r.add(CodeType, r.position(n), "%s must be a list", name(path))
+		r.add(CodeType, r.position(n), "%s must be a list", displayName(path))
 		return
 	}
 	out := reflect.MakeSlice(v.Type(), len(s.Values), len(s.Values))
@@ -167,12 +167,12 @@
 func (r *reader) duration(path string, n ast.Node, v reflect.Value) {
 	text, ok := n.(*ast.StringNode)
 	if !ok {
-		r.add(CodeType, r.position(n), "%s must be a duration, such as 30s", name(path))
+		r.add(CodeType, r.position(n), "%s must be a duration, such as 30s", displayName(path))
 		return
 	}
 	d, err := time.ParseDuration(text.Value)
 	if err != nil {
-		r.add(CodeType, r.position(n), "%s must be a duration, such as 30s, not %q", name(path), text.Value)
+		r.add(CodeType, r.position(n), "%s must be a duration, such as 30s, not %q", displayName(path), text.Value)
 		return
 	}
 	v.SetInt(int64(d))
@@ -180,7 +180,7 @@
 
 func (r *reader) scalar(path string, n ast.Node, v reflect.Value) {
 	if !setScalar(n, v) {
-		r.add(CodeType, r.position(n), "%s must be a %s", name(path), kindName(v.Kind()))
+		r.add(CodeType, r.position(n), "%s must be a %s", displayName(path), kindName(v.Kind()))
 	}
 }
 
@@ -245,7 +245,7 @@
 	return "number"
 }
 
-func name(path string) string {
+func displayName(path string) string {
 	if path == "" {
 		return "the document"
 	}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage reads what this process has used of the machine.
+// Package usage reports the resource usage of this process.
 package usage
 
 import (
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Processor returns the processor time that the process has used since its start, in its own code and in the system's.
+// Processor returns the processor time used by the process since its start, in user and system mode.
 func Processor() (time.Duration, error) {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
