--- a/cmd/tamarindctl/main.go
+++ b/cmd/tamarindctl/main.go
@@ -1,4 +1,4 @@
-// Command tamarindctl is the operators' command line.
+// Command tamarindctl is the operators' command line tool.
 package main
 
 import (
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -32,52 +32,53 @@
 	"github.com/tamarindstep/tamarindstep/vmlist"
 )
 
-// requestsPerMB is how many requests are served at once for each MB of memory:
-// one holds its body, of some ten kilobytes, and the buffers of two connections.
+// requestsPerMB is the maximum number of concurrent requests per MB of memory. A request needs memory
+// for its body, of some ten kilobytes, and for the buffers of two connections.
 const requestsPerMB = 5
 
-// heldPart is the part of the memory that may be held for callers. A good third of what is held of answers to callers that
-// take nothing lies in the system's buffers.
-const heldPart = 0.75
+// heldFraction is the fraction of the memory available for data held for callers. More than a third of the data held
+// for callers that don't read their answers is in kernel buffers.
+const heldFraction = 0.75
 
 const (
-	// filesKept is how many descriptors are for other things than connections to callers
-	// and backend servers: routers, the store, and the runtime.
-	filesKept = 300
-	// callersPart is the part of the others that callers' connections may take. Each request
-	// takes one to a backend server as well, and some connections of both kinds rest.
-	callersPart = 0.45
+	// reservedFiles is the number of file descriptors reserved for uses other than connections
+	// to callers and backend servers: other routers, the store, and the runtime.
+	reservedFiles = 300
+	// callersFraction is the fraction of the remaining descriptors available for callers'
+	// connections. Each request also needs a connection to a backend server, and some
+	// connections of both kinds are idle.
+	callersFraction = 0.45
 )
 
-// turnAwaysPerCore is how many connections a second a whole core may turn away: at some 80 microseconds each
-// (BenchmarkPlatformRefusal) a third of it, so that the rest is left for requests that are served, and
-// for what the routers tell each other.
-const turnAwaysPerCore = 4000
+// refusalsPerCore is the maximum number of connections refused per second and core. At some 80 microseconds each
+// (BenchmarkPlatformRefusal) they use a third of a core, which leaves the rest for serving requests and for the
+// messages between routers.
+const refusalsPerCore = 4000
 
-// retryWindow is the span over which the retry budget is counted.
+// retryWindow is the period over which the retry budget is measured.
 const retryWindow = 10 * time.Second
 
-// callers is a service for callers.
+// callers is a service that serves callers.
 type callers interface {
 	kernel.Service
-	// Drain lets a stopping router finish its requests.
+	// Drain stops taking new requests, and waits until all others are finished or ctx is done.
 	Drain(ctx context.Context)
 }
 
 // router is a running router.
 type router struct {
-	log       zerolog.Logger
-	kernel    *kernel.Kernel
-	callers   callers
-	scheduler *scheduler.Service
-	drainFor  time.Duration
-	once      sync.Once
-	draining  chan struct{}
-	leave     func(context.Context) error // takes it out of the list of routers
+	log          zerolog.Logger
+	kernel       *kernel.Kernel
+	callers      callers
+	scheduler    *scheduler.Service
+	drainTimeout time.Duration
+	drainOnce    sync.Once
+	draining     chan struct{}
+	leave        func(context.Context) error // removes the router from the router list
 }
 
-// drain begins the router's orderly end.
-func (r *router) drain() { r.once.Do(func() { close(r.draining) }) }
+// drain starts the router's graceful shutdown. It may be called several times.
+func (r *router) drain() { r.drainOnce.Do(func() { close(r.draining) }) }
 
 func (r *router) isDraining() bool {
 	select {
@@ -88,32 +89,32 @@
 	}
 }
 
-// close takes the router out of the list of routers.
+// close removes the router from the router list.
 func (r *router) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := r.leave(ctx); err != nil {
-		r.log.Warn().Err(err).Msg("the router stays in the list until its lease ends")
+		r.log.Warn().Err(err).Msg("router not removed from the router list; its entry remains until its lease expires")
 	}
 }
 
-// leaveTimeout is how long a stopping router tries to leave the list.
+// leaveTimeout limits the time for removing a stopping router from the router list.
 const leaveTimeout = 500 * time.Millisecond
 
-// surroundings are what a router stands in: the store, the list of routers and
-// the callers, each in the form that the interface says.
-type surroundings struct {
+// environment contains the parts of a router that depend on the interface: the store, the
+// router list and the service for callers.
+type environment struct {
 	source  generation.Source
 	routers vmlist.List
 	key     string
 	callers callers
 	leave   func(context.Context) error
-	// keep returns the services that keep what lies in the store, nil for none.
-	keep func(*peer.Service, *generation.Service) kernel.Service
+	// keyService returns the service that maintains the peer key in the store. It is nil if there is none.
+	keyService func(*peer.Service, *generation.Service) kernel.Service
 }
 
-func own(s Settings, log zerolog.Logger, metrics *telemetry.Metrics) surroundings {
-	return surroundings{
+func ownEnvironment(s Settings, log zerolog.Logger, metrics *telemetry.Metrics) environment {
+	return environment{
 		source:  generation.Source{Store: store.NewEtcd(s.Store)},
 		routers: vmlist.NewHTTP(s.VMList),
 		key:     s.PeerKey,
@@ -122,58 +123,58 @@
 	}
 }
 
-func onPlatform(ctx context.Context, s Settings, log zerolog.Logger, metrics *telemetry.Metrics) (surroundings, error) {
-	kept := platform.NewStore(s.Store)
-	key, err := platform.PeerKey(ctx, kept)
+func platformEnvironment(ctx context.Context, s Settings, log zerolog.Logger, metrics *telemetry.Metrics) (environment, error) {
+	kv := platform.NewStore(s.Store)
+	key, err := platform.PeerKey(ctx, kv)
 	if err != nil {
-		return surroundings{}, err
+		return environment{}, err
 	}
 	log.Info().Msg("peer key read from the store")
 	maker := fingerprint.NewMaker(key.Data)
-	routers := &platform.Routers{Store: kept, Self: vmlist.VM{
+	routers := &platform.Routers{Store: kv, Self: vmlist.VM{
 		Name: s.Name, Address: s.PeerListen, DataHall: s.DataHall, Role: vmlist.RoleRouter, State: vmlist.StateLive,
 		Processor: s.Processor,
 	}}
-	return surroundings{
+	return environment{
 		source: generation.Source{
-			Store: kept, Format: platform.Configuration{Policy: s.Policy},
-			Operators: platform.Operators{Store: kept}, Discovery: platform.Backends{Store: kept},
+			Store: kv, Format: platform.Configuration{Policy: s.Policy},
+			Operators: platform.Operators{Store: kv}, Discovery: platform.Backends{Store: kv},
 		},
 		routers: routers,
 		key:     string(key.Data),
 		callers: gateway.New(gateway.Settings{
 			Listen: s.CallerListen, DataHall: s.DataHall, Dialect: platform.Dialect{}, MaxRequests: int(s.MemoryMB * requestsPerMB),
-			MaxConns: int((s.Files - filesKept) * callersPart), TurnAways: s.Processor * turnAwaysPerCore,
+			MaxConns: int((s.Files - reservedFiles) * callersFraction), TurnAways: s.Processor * refusalsPerCore,
 			Processor:    s.Processor,
 			WriteStall:   s.CallerStall,
-			HeldBytes:    int(s.MemoryMB * heldPart * bytesPerMB),
+			HeldBytes:    int(s.MemoryMB * heldFraction * bytesPerMB),
 			Fingerprints: maker,
 		}, log, metrics),
 		leave: routers.Leave,
-		keep: func(peers *peer.Service, gens *generation.Service) kernel.Service {
-			keeper := peerkey.New(peerkey.Settings{
-				Store: kept, Key: platform.PeerKeyKey, Held: key,
+		keyService: func(peers *peer.Service, generations *generation.Service) kernel.Service {
+			keys := peerkey.New(peerkey.Settings{
+				Store: kv, Key: platform.PeerKeyKey, Held: key,
 				Take: func(key []byte) { peers.Rekey(key); maker.Rekey(key) },
 			}, log)
-			peers.OnForged(keeper.Stranger)
-			metrics.Platform.Era.Set(float64(kept.Era()))
-			kept.FollowEras(&eras{log: log, metrics: metrics.Platform, keeper: keeper, gens: gens})
-			return keeper
+			peers.OnForged(keys.Stranger)
+			metrics.Platform.Era.Set(float64(kv.Era()))
+			kv.FollowEras(&eraListener{log: log, metrics: metrics.Platform, keys: keys, generations: generations})
+			return keys
 		},
 	}, nil
 }
 
 func build(ctx context.Context, s Settings, log zerolog.Logger) (*router, error) {
-	r := &router{log: log, draining: make(chan struct{}), drainFor: s.Drain}
+	r := &router{log: log, draining: make(chan struct{}), drainTimeout: s.Drain}
 	metrics := telemetry.NewMetrics()
-	around := own(s, log, metrics)
+	env := ownEnvironment(s, log, metrics)
 	if s.Interface == interfacePlatform {
 		var err error
-		if around, err = onPlatform(ctx, s, log, metrics); err != nil {
+		if env, err = platformEnvironment(ctx, s, log, metrics); err != nil {
 			return nil, err
 		}
 	}
-	r.callers, r.leave = around.callers, around.leave
+	r.callers, r.leave = env.callers, env.leave
 	self := member.Member{
 		Name: s.Name, Address: s.PeerListen, DataHall: s.DataHall, Processor: s.Processor, Boot: rand.Uint64() | 1,
 	}
@@ -184,32 +185,32 @@
 	if s.HallHomes {
 		r.scheduler.HomesInHalls()
 	}
-	gens := generation.New(around.source, log, metrics.Platform)
-	administration := admin.New(s.AdminListen, s.OperatorToken, metrics.Registry, r.isDraining)
+	generations := generation.New(env.source, log, metrics.Platform)
+	adminService := admin.New(s.AdminListen, s.OperatorToken, metrics.Registry, r.isDraining)
 	if s.Profiles {
-		administration.ServeProfiles()
+		adminService.ServeProfiles()
 	}
 	peers := peer.New(peer.Settings{
-		Name: s.Name, Boot: self.Boot, Listen: s.PeerListen, Key: []byte(around.key), EventLoop: s.EventLoop,
+		Name: s.Name, Boot: self.Boot, Listen: s.PeerListen, Key: []byte(env.key), EventLoop: s.EventLoop,
 	}, metrics.Peer)
 	services := []kernel.Service{
 		telemetry.NewTraces(s.Name, s.TraceEndpoint),
 		peers,
 		r.scheduler,
-		fleet.New(s.Name, around.routers, log),
-		gens,
-		heldstore.New(around.source.Store, log, metrics.Platform),
-		claim.New(around.source.Store, s.StoreWrites, metrics.Platform),
+		fleet.New(s.Name, env.routers, log),
+		generations,
+		heldstore.New(env.source.Store, log, metrics.Platform),
+		claim.New(env.source.Store, s.StoreWrites, metrics.Platform),
 		back.New(),
 		status.New(s.Name, r.drain),
-		administration,
+		adminService,
 		r.callers,
 	}
-	if around.keep != nil {
-		services = append(services, around.keep(peers, gens))
+	if env.keyService != nil {
+		services = append(services, env.keyService(peers, generations))
 	}
 	if s.Interface == interfaceOwn {
-		services = append(services, fleet.NewLoads(gens.InForce))
+		services = append(services, fleet.NewLoads(generations.InForce))
 	}
 	var err error
 	r.kernel, err = kernel.New(services...)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the router daemon: its settings, its services, and its
-// orderly end.
+// Package daemon implements the router daemon: its settings, the assembly of its services, and its
+// graceful shutdown.
 package daemon
 
 import (
@@ -22,9 +22,9 @@
 
 const (
 	stopTimeout = 10 * time.Second
-	// drainPart is the part of the time for a planned stop in which requests are
-	// finished; the rest is for the services' own end.
-	drainPart = 0.92
+	// drainFraction is the fraction of the time for a planned stop available for finishing
+	// requests. The rest is for stopping the services.
+	drainFraction = 0.92
 )
 
 // NewCommand returns the daemon's command.
@@ -40,7 +40,7 @@
 	}
 	addFlags(c.Flags())
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		s, err := read(cmd.Flags())
+		s, err := readSettings(cmd.Flags())
 		if err != nil {
 			cmd.SetErr(cmd.OutOrStdout())
 			return err
@@ -54,14 +54,13 @@
 
 const (
 	bytesPerMB = 1 << 20
-	// memoryPart is the part of the memory from which the runtime collects
-	// garbage more often.
-	memoryPart = 0.6
+	// memoryFraction is the fraction of the memory used as the runtime's soft memory limit, above
+	// which it collects garbage more often.
+	memoryFraction = 0.6
 )
 
-// eventLoopProcs is how many threads run Go code at the least beside an event loop.
-// It waits in a system call of its own: with one thread, what is ready to run
-// meanwhile would wait until the runtime notices, which took up to three seconds.
+// eventLoopProcs is the minimum GOMAXPROCS with an event loop. The event loop blocks in a system call of its own: with
+// one thread, runnable goroutines would wait until the runtime detects that, which took up to three seconds.
 const eventLoopProcs = 4
 
 // Main runs the daemon and returns the exit code.
@@ -84,15 +83,15 @@
 	return zerolog.New(out).Level(level).With().Timestamp().Str("router", s.Name).Logger()
 }
 
-// Run runs a router until the context ends or an operator drains it, and then
-// until its requests are done.
-func Run(ctx context.Context, s Settings, logTo io.Writer) error {
-	lines := telemetry.NewLogWriter(logTo)
+// Run runs a router until the context is done or an operator drains it, and then waits
+// for its requests to finish. It writes the log to out.
+func Run(ctx context.Context, s Settings, out io.Writer) error {
+	lines := telemetry.NewLogWriter(out)
 	defer lines.Close()
 	if s.EventLoop && runtime.GOMAXPROCS(0) < eventLoopProcs {
 		runtime.GOMAXPROCS(eventLoopProcs)
 	}
-	debug.SetMemoryLimit(int64(s.MemoryMB * memoryPart * bytesPerMB))
+	debug.SetMemoryLimit(int64(s.MemoryMB * memoryFraction * bytesPerMB))
 	log := newLog(s, lines)
 	r, err := build(ctx, s, log)
 	if err != nil {
@@ -113,15 +112,15 @@
 	return r.stop()
 }
 
-// logReloads notes each request to read the settings anew. They are flags and
-// environment, which can't change while the process runs: what may change is in
-// the configuration, which is followed all the time.
+// logReloads logs each SIGHUP, which is otherwise ignored. Settings are flags and environment
+// variables, which can't change while the process runs. Everything that can change is in the
+// configuration, whose changes are applied continuously.
 func logReloads(log zerolog.Logger) (stop func()) {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	go func() {
 		for range reloads {
-			log.Info().Msg("reload asked for: settings stand until the process ends, the configuration is followed")
+			log.Info().Msg("reload requested: settings can't change while the process runs, configuration changes are applied continuously")
 		}
 	}()
 	return func() {
@@ -130,11 +129,11 @@
 	}
 }
 
-// stop lets the requests that are here finish, and then the services.
+// stop waits for the running requests to finish, and then stops the services.
 func (r *router) stop() error {
 	r.log.Info().Msg("draining")
 	r.scheduler.Tell(core.Drain{})
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(drainPart*float64(r.drainFor)))
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(drainFraction*float64(r.drainTimeout)))
 	defer cancel()
 	r.callers.Drain(ctx)
 	end, cancelEnd := context.WithTimeout(context.Background(), stopTimeout)
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -11,7 +11,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// All settings that are wrong are reported at once, each with its flag.
+// TestSettingsAreCheckedTogether checks that all invalid settings are reported together, each with its flag.
 func TestSettingsAreCheckedTogether(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("TAMARINDSTEP_STORE", "store.example:1") // a name, not an IP
@@ -19,7 +19,7 @@
 	f := pflag.NewFlagSet("test", pflag.ContinueOnError)
 	addFlags(f)
 	is.NoErr(f.Parse([]string{"--name", "two words", "--data-hall", "a", "--caller-listen", "127.0.0.1:1", "--log-level", "loud"}))
-	_, err := read(f)
+	_, err := readSettings(f)
 	var findings finding.List
 	is.True(errors.As(err, &findings))
 	var got []string
@@ -39,7 +39,7 @@
 		"--admin-listen", "127.0.0.1:2", "--peer-listen", "127.0.0.1:3", "--store", "127.0.0.1:4",
 		"--store-writes", "none", "--peer-receiver", "pigeon", "--loads-bytes", "few", "--prompt-homes", "rack",
 	}))
-	_, err := read(f)
+	_, err := readSettings(f)
 	var findings finding.List
 	is.True(errors.As(err, &findings))
 	var got []string
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -9,26 +9,26 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// eras tells what concerns it that the store has come back from a copy.
-type eras struct {
-	log     zerolog.Logger
-	metrics *telemetry.Platform
-	keeper  *peerkey.Service
-	gens    *generation.Service
+// eraListener notifies other services when the store has been restored from a backup.
+type eraListener struct {
+	log         zerolog.Logger
+	metrics     *telemetry.Platform
+	keys        *peerkey.Service
+	generations *generation.Service
 }
 
 // EraBegan implements platform.EraNotes.
-func (e *eras) EraBegan(era uint32) {
-	e.log.Warn().Uint32("era", era).Msg("the store has come back from a copy")
+func (e *eraListener) EraBegan(era uint32) {
+	e.log.Warn().Uint32("era", era).Msg("store restored from a backup")
 	e.metrics.Era.Set(float64(era))
-	e.keeper.EraBegan(era)
-	e.gens.StoreReturned()
+	e.keys.EraBegan(era)
+	e.generations.StoreReturned()
 }
 
 // EraRefused implements platform.EraNotes.
-func (e *eras) EraRefused(err error) {
+func (e *eraListener) EraRefused(err error) {
 	e.metrics.EraRefused.Inc()
 	e.log.Warn().Err(err).Msg("an answer of the store was refused for its era")
 }
 
-var _ platform.EraNotes = (*eras)(nil)
+var _ platform.EraNotes = (*eraListener)(nil)
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -19,8 +19,8 @@
 
 // The values of the setting profiles.
 const (
-	wordOn  = "on"
-	wordOff = "off"
+	profilesOn  = "on"
+	profilesOff = "off"
 )
 
 // The values of the setting prompt-homes.
@@ -36,7 +36,7 @@
 	receiverRuntime   = "runtime"
 )
 
-// Settings are the router's settings, checked.
+// Settings are the router's validated settings.
 type Settings struct {
 	Interface     string
 	Name          string
@@ -44,24 +44,24 @@
 	CallerListen  string
 	AdminListen   string
 	PeerListen    string
-	EventLoop     bool // receives the other routers' datagrams
+	EventLoop     bool // an event loop receives the other routers' datagrams
 	Store         string
-	StoreWrites   float64 // that it takes in a second
-	VMList        string  // of the own interface
-	OperatorToken string  // of the own interface
-	PeerKey       string  // of the own interface
-	Policy        string  // of the platform's interface
+	StoreWrites   float64 // maximum writes per second, over the fleet
+	VMList        string  // own interface only
+	OperatorToken string  // own interface only
+	PeerKey       string  // own interface only
+	Policy        string  // platform's interface only
 	Drain         time.Duration
-	CallerStall   time.Duration // how long a caller may take nothing of its answer
+	CallerStall   time.Duration // maximum time without progress in writing an answer
 	RetryRatio    float64
 	RetrySlack    float64
 	ColdOvershoot float64
 	ColdSlack     float64
-	HallHomes     bool    // prompts that share parts have a home in each data hall
-	LoadsBytes    float64 // a second, that each router is told of the others' requests
+	HallHomes     bool    // prompts with common parts have a preferred backend server in each data hall
+	LoadsBytes    float64 // bytes per second sent to each router about the others' requests
 	MemoryMB      float64
-	Files         float64 // descriptors
-	Processor     float64 // part of a core
+	Files         float64 // maximum number of open file descriptors
+	Processor     float64 // fraction of a core
 	Profiles      bool
 	LogLevel      string
 	LogFormat     string
@@ -96,14 +96,14 @@
 	f.String("memory-mb", "512", "memory that the process may use, in MB; it takes fewer requests at once where there is less")
 	f.String("files", "1024", "descriptors that the process may have open; fewer callers' connections are kept where there are fewer")
 	f.String("processor", "1", "part of a core that the process may use; the routers with the most pass on what the others tell")
-	f.String("profiles", wordOff, "on: profiles of the process are served below /debug/pprof/ of the admin listener; off: they aren't")
+	f.String("profiles", profilesOff, "on: profiles of the process are served below /debug/pprof/ of the admin listener; off: they aren't")
 	f.String("log-level", "info", "debug, info, warn or error")
 	f.String("log-format", "json", "json or console")
 	f.String("trace-endpoint", "", "URL that takes OTLP traces over HTTP; none are sent without")
 }
 
-// read reads and checks all settings; the error holds every finding.
-func read(f *pflag.FlagSet) (Settings, error) {
+// readSettings reads and checks all settings. The error is a finding.List with all findings.
+func readSettings(f *pflag.FlagSet) (Settings, error) {
 	r, err := settings.NewReader(f)
 	if err != nil {
 		return Settings{}, err
@@ -129,7 +129,7 @@
 		MemoryMB:      r.Number("memory-mb", 32),
 		Files:         r.Number("files", 512),
 		Processor:     r.Number("processor", 0.01),
-		Profiles:      r.Choice("profiles", wordOff, wordOn) == wordOn,
+		Profiles:      r.Choice("profiles", profilesOff, profilesOn) == profilesOn,
 		LogLevel:      r.Choice("log-level", "debug", "info", "warn", "error"),
 		LogFormat:     r.Choice("log-format", "json", "console"),
 		TraceEndpoint: r.Text("trace-endpoint"),
--- a/telemetry/logwriter.go
+++ b/telemetry/logwriter.go
@@ -20,9 +20,9 @@
 	flushInterval = 50 * time.Millisecond
 )
 
-// LogWriter writes log lines without blocking its callers. Lines beyond the maximum
-// rate, or beyond the maximum queue if the reader is too slow, are dropped and counted, and the
-// count is written as a separate line.
+// LogWriter writes log lines without blocking its callers. Lines that exceed the maximum
+// rate, or the maximum queue because the reader is too slow, are dropped. Their number is
+// written as a separate line.
 type LogWriter struct {
 	out     io.Writer
 	dropped atomic.Int64
