--- a/config/check/ts2001/ts2001.go
+++ b/config/check/ts2001/ts2001.go
@@ -6,7 +6,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2001.
 var Check = &check.Check{
 	Code: "TS2001",
 	Doc: check.Doc{
--- a/config/check/ts2002/ts2002.go
+++ b/config/check/ts2002/ts2002.go
@@ -7,7 +7,7 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Check is the documented check.
+// Check is the check TS2002.
 var Check = &check.Check{
 	Code: "TS2002",
 	Doc: check.Doc{
--- a/config/check/ts2003/ts2003.go
+++ b/config/check/ts2003/ts2003.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2003.
 var Check = &check.Check{
 	Code: "TS2003",
 	Doc: check.Doc{
--- a/config/check/ts2004/ts2004.go
+++ b/config/check/ts2004/ts2004.go
@@ -8,7 +8,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2004.
 var Check = &check.Check{
 	Code: "TS2004",
 	Doc: check.Doc{
--- a/config/check/ts2005/ts2005.go
+++ b/config/check/ts2005/ts2005.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2005.
 var Check = &check.Check{
 	Code: "TS2005",
 	Doc: check.Doc{
--- a/config/check/ts2007/ts2007.go
+++ b/config/check/ts2007/ts2007.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2007.
 var Check = &check.Check{
 	Code: "TS2007",
 	Doc: check.Doc{
--- a/config/check/ts2008/ts2008.go
+++ b/config/check/ts2008/ts2008.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindstep/tamarindstep/policy/policies"
 )
 
-// Check is the documented check.
+// Check is the check TS2008.
 var Check = &check.Check{
 	Code: "TS2008",
 	Doc: check.Doc{
--- a/config/config.go
+++ b/config/config.go
@@ -140,7 +140,7 @@
 
 // Through holds the options for passing through the requests of a host route.
 type Through struct {
-	// Public requests need no key.
+	// Public reports whether requests need no API key.
 	Public bool `yaml:"public" json:"public,omitempty"`
 	// Streaming answers are events with ascending identifiers; Resumable ones may be
 	// continued by another backend server.
