--- a/config/check/ts2001/ts2001.go
+++ b/config/check/ts2001/ts2001.go
@@ -1,4 +1,4 @@
-// Package ts2001 finds where two things of a kind have one name.
+// Package ts2001 reports names used by two objects of the same kind.
 package ts2001
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2001.
 var Check = &check.Check{
 	Code: "TS2001",
 	Doc: check.Doc{
--- a/config/check/ts2002/ts2002.go
+++ b/config/check/ts2002/ts2002.go
@@ -1,4 +1,4 @@
-// Package ts2002 finds where two names have one hash.
+// Package ts2002 reports names of the same kind whose hashes collide.
 package ts2002
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Check is the documented check.
+// Check is the check TS2002.
 var Check = &check.Check{
 	Code: "TS2002",
 	Doc: check.Doc{
--- a/config/check/ts2004/ts2004.go
+++ b/config/check/ts2004/ts2004.go
@@ -1,4 +1,4 @@
-// Package ts2004 finds where a number is out of its range.
+// Package ts2004 reports numbers that are out of range.
 package ts2004
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2004.
 var Check = &check.Check{
 	Code: "TS2004",
 	Doc: check.Doc{
--- a/config/check/ts2007/ts2007.go
+++ b/config/check/ts2007/ts2007.go
@@ -1,4 +1,4 @@
-// Package ts2007 finds where an address isn't an IP and port.
+// Package ts2007 reports addresses that aren't an IP and port.
 package ts2007
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2007.
 var Check = &check.Check{
 	Code: "TS2007",
 	Doc: check.Doc{
--- a/config/check/ts2008/ts2008.go
+++ b/config/check/ts2008/ts2008.go
@@ -1,4 +1,4 @@
-// Package ts2008 finds where a word isn't one of those allowed.
+// Package ts2008 reports values that aren't among the allowed ones.
 package ts2008
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/tamarindstep/tamarindstep/policy/policies"
 )
 
-// Check is the documented check.
+// Check is the check TS2008.
 var Check = &check.Check{
 	Code: "TS2008",
 	Doc: check.Doc{
--- a/config/check/ts2010/ts2010.go
+++ b/config/check/ts2010/ts2010.go
@@ -1,4 +1,4 @@
-// Package ts2010 finds where a pool has no backend servers.
+// Package ts2010 reports pools without backend servers.
 package ts2010
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2010.
 var Check = &check.Check{
 	Code: "TS2010",
 	Doc: check.Doc{
--- a/config/check/ts2011/ts2011.go
+++ b/config/check/ts2011/ts2011.go
@@ -1,4 +1,4 @@
-// Package ts2011 finds where a route and its pool don't fit.
+// Package ts2011 reports routes that don't match the kind of their pool.
 package ts2011
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/tamarindstep/tamarindstep/finding"
 )
 
-// Check is the documented check.
+// Check is the check TS2011.
 var Check = &check.Check{
 	Code: "TS2011",
 	Doc: check.Doc{
