--- a/e2e/bench_test.go
+++ b/e2e/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin"
 )
 
-// benchRuns is how often each time is measured.
+// benchRuns is the number of measurements of each time.
 const benchRuns = 7
 
 func printTimes(what string, times []time.Duration) {
@@ -23,7 +23,7 @@
 		times[len(times)/2].Seconds()*1e3, times[len(times)-1].Seconds()*1e3, len(times))
 }
 
-// generationOf reads the generation in force from a router's counters.
+// generationOf returns the configuration generation in force, from a router's metrics; "" if they can't be read.
 func generationOf(r *router) string {
 	resp, err := http.Get("http://" + r.admin + "/metrics")
 	if err != nil {
@@ -36,8 +36,7 @@
 	return value
 }
 
-// timeApply applies a configuration and returns how long it takes until it is in
-// force at all routers.
+// timeApply applies a configuration and returns the time until it is in force at all routers.
 func (f *fleet) timeApply(queue int) time.Duration {
 	file := f.write("bench.yaml", f.configuration(fmt.Sprintf("    limits: {queue: %d}\n", queue)))
 	began := time.Now()
@@ -123,8 +122,8 @@
 	}
 }
 
-// timeLeaving lets the service report that it is leaving under load, and returns
-// how long after it was given its last request.
+// timeLeaving makes the service report that it is leaving while it is under load, and returns the time from then until
+// the last request that was sent to it.
 func (f *fleet) timeLeaving(run int) time.Duration {
 	began := time.Now()
 	f.service.SetFaults(standin.Faults{Leaving: true})
--- a/e2e/buffers_test.go
+++ b/e2e/buffers_test.go
@@ -14,11 +14,11 @@
 	"github.com/matryer/is"
 )
 
-// bufferName matches the names of constants that are sizes of buffers.
+// bufferName matches the names of constants that are buffer sizes.
 var bufferName = regexp.MustCompile(`(?i)(buffer|buffersize|held|inlinebody|headerbytes)$`)
 
-// sizesAround returns sizes of answers around each buffer on their way, which are found by the names of their
-// constants, and 0 and the largest.
+// bufferSizes returns answer sizes in bytes: each buffer size of the packages that forward answers, one byte less and
+// one byte more, as well as 0 and the largest answer. The buffers are found by the names of their constants.
 func bufferSizes(t testing.TB) []int {
 	t.Helper()
 	is := is.New(t)
@@ -32,12 +32,12 @@
 			}
 		}
 	}
-	is.True(len(out) > 4+3*4) // some were found
+	is.True(len(out) > 4+3*4) // the packages have such constants
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// buffersOf returns the sizes of buffers, in bytes, that a file names.
+// buffersInFile returns the buffer sizes, in bytes, of the constants in a file.
 func buffersInFile(t testing.TB, path string) []int {
 	t.Helper()
 	is := is.New(t)
@@ -52,7 +52,7 @@
 		}
 		value, err := types.Eval(files, nil, tokens.NoPos, types.ExprString(spec.Values[0]))
 		if err != nil || value.Value == nil {
-			return true // a variable, or a constant of others
+			return true // not a constant expression on its own
 		}
 		size, err := strconv.Atoi(value.Value.ExactString())
 		is.NoErr(err)
--- a/e2e/burst_test.go
+++ b/e2e/burst_test.go
@@ -13,12 +13,12 @@
 
 const (
 	burstServers = 8
-	burstCallers = 60 // fewer than the places of the servers
+	burstCallers = 60 // fewer than the slots of all servers
 	bursts       = 5
 )
 
-// TestPlatformBurstAtIdleServersIsServed lets all callers of one account come at the same
-// moment, to servers that have room for all of them: nobody may be refused.
+// TestPlatformBurstAtIdleServersIsServed guards against refusals while there are free slots: all callers of one account
+// send at the same moment, to idle servers that have slots for all of them.
 func TestPlatformBurstAtIdleServersIsServed(t *testing.T) {
 	p := newPlatform(t, 1)
 	for i := range burstServers {
--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -13,45 +13,45 @@
 
 const (
 	soakConnections = 32
-	// soakStall is how long a caller may take nothing of its answer, in the soak.
+	// soakStallLimit is how long a caller may read nothing of its answer before a router breaks it off, in the soak.
 	soakStallLimit = 1500 * time.Millisecond
-	// slowRead is how long a caller reads one answer at the most.
+	// maxReadTime is the longest time in which a caller reads one answer.
 	maxReadTime = 3 * time.Second
-	// soakTimeLeft is the time of a request.
+	// soakTimeLimit is the time limit of a request.
 	soakTimeLimit = 2 * time.Second
-	// neverAnswered is when a caller gives a request up that gets nothing: longer than any router is paused.
+	// answerTimeout is when a caller gives up a request without an answer: longer than any router is paused.
 	answerTimeout = 60 * time.Second
-	// readerBuffer is the size of a caller's buffer, in bytes: no part that it reads is larger.
+	// readerBuffer is the size of a caller's read buffer, in bytes: the most that one read returns.
 	readerBuffer = 4096
-	// maxHeld is the size of the largest answer, in bytes, of which nothing is handed on before it is whole.
+	// maxBufferedAnswer is the size of the largest answer, in bytes, that is forwarded only once it is whole.
 	maxBufferedAnswer = 256 << 10
-	// aLot is the size of the largest answer, in bytes.
+	// maxAnswer is the size of the largest answer, in bytes.
 	maxAnswer = 1 << 20
 )
 
-// leaving is how a caller leaves a request.
+// abortKind is the way in which a caller aborts a request.
 type abortKind uint8
 
 const (
 	noAbort abortKind = iota
 	abortBeforeAnswer
 	abortInAnswer
-	abortByStall // reads nothing until its router has given it up
+	abortByStall // reads nothing until the router breaks off the answer
 	abortInRequest
 )
 
-// livingCaller keeps one connection at a time until its router ends it, or is gone.
+// persistentCaller keeps one connection at a time until its router closes it or exits.
 type persistentCaller struct {
 	soak     *soak
 	n        int
 	random   *rand.Rand
 	conn     *users.Caller // nil for none
 	router   *router
-	lastSent time.Time // when the last answer began to be waited for
+	lastSent time.Time // start of the last request
 	sent     int
 }
 
-// live sends requests until the time is over.
+// run sends requests until a point in time.
 func (c *persistentCaller) run(until time.Time) {
 	for time.Now().Before(until) {
 		if c.conn != nil && c.conn.Ended() {
@@ -67,7 +67,7 @@
 	c.disconnect()
 }
 
-// connect makes a connection to a router that is drawn; a few take little that their caller hasn't read.
+// connect opens a connection to a random router, in a third of the cases with a small receive buffer.
 func (c *persistentCaller) connect() bool {
 	c.soak.mu.Lock()
 	c.router = c.soak.routers[c.random.IntN(len(c.soak.routers))]
@@ -89,7 +89,7 @@
 	return true
 }
 
-// leave ends the connection, in order or by a reset.
+// disconnect closes or resets the connection.
 func (c *persistentCaller) disconnect() {
 	if c.conn == nil {
 		return
@@ -102,17 +102,17 @@
 	c.conn = nil
 }
 
-// rest lets the connection rest, in a third of the cases for up to four fifths of the idle limit.
+// idle leaves the connection idle, in a third of the cases for up to four fifths of the idle limit.
 func (c *persistentCaller) idle(until time.Time) {
 	duration := time.Duration(c.random.IntN(20)) * time.Millisecond
 	if c.random.IntN(3) == 0 {
 		duration = time.Duration(c.random.Float64() * 0.8 * float64(c.soak.faultLog.maxIdle()))
 	}
-	// The limit counts from when the router's system took the answer, which may be before it was read.
+	// The limit counts from when the router's kernel accepted the answer, which may be before the caller read it.
 	time.Sleep(min(duration-time.Since(c.lastSent), time.Until(until)))
 }
 
-// exchange sends a request and reads its answer, or leaves.
+// exchange sends a request and reads its answer, or aborts it.
 func (c *persistentCaller) exchange() {
 	r := c.newRequest()
 	abort := noAbort
@@ -126,7 +126,7 @@
 		return
 	}
 	_ = c.conn.SetDeadline(x.began.Add(answerTimeout))
-	sendErr := c.conn.Send(r) // a router that refuses a request may end the connection before it has read it
+	sendErr := c.conn.Send(r) // a router may refuse a request and close the connection before it has read it all
 	x.answer = c.read(abort, users.ShapeOf(r.Path).Bytes)
 	x.ended, c.lastSent = time.Now(), x.began
 	if x.answer.Err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// read reads an answer of a size at a pace that is drawn, or leaves before it is whole.
+// read reads an answer of the given size at a random pace, or aborts it.
 func (c *persistentCaller) read(abort abortKind, size int) users.Answer {
 	c.conn.SetPace(c.randomPace(size))
 	switch abort {
@@ -153,8 +153,8 @@
 	return c.conn.Read()
 }
 
-// pace draws how fast an answer is read: at once, in parts, or steadily at a few ten KB a second, as the time
-// in which nothing may be taken is shorter than a router's usual one.
+// randomPace returns how fast an answer is read: at once, in parts, or steadily at a few tens of KB per second, as the
+// stall limit is shorter than the default of a router.
 func (c *persistentCaller) randomPace(size int) users.Pace {
 	out := users.Pace{}
 	switch c.random.IntN(4) {
@@ -169,7 +169,7 @@
 	return out
 }
 
-// draw returns a request: of a stream, or of an answer of any size and form.
+// newRequest returns a random request, for a stream or for an answer of any size and framing.
 func (c *persistentCaller) newRequest() users.Request {
 	c.sent++
 	path := []string{"/chat/1", "/review/1", "/claim/1", "/look/1"}[c.random.IntN(4)]
@@ -186,7 +186,7 @@
 	}
 }
 
-// shape draws one whose size is at a buffer's, or anywhere up to a lot.
+// randomShape returns the shape of an answer whose size is close to a buffer's, or anything up to maxAnswer.
 func (c *persistentCaller) randomShape() users.Shape {
 	form := []users.Form{users.Sized, users.Sized, users.Chunked, users.Open}[c.random.IntN(4)]
 	sizes := c.soak.sizes
@@ -210,19 +210,19 @@
 	return strings.HasPrefix(x.request.Path, "/chat/") || strings.HasPrefix(x.request.Path, "/review/")
 }
 
-// isPassedOn tells whether the answer is handed on before it is whole.
+// isForwardedEarly reports whether the answer is forwarded before it is whole.
 func (x result) isForwardedEarly() bool {
 	return x.answer.Status == 200 && (x.isStream() || users.ShapeOf(x.request.Path).Bytes > maxBufferedAnswer)
 }
 
-// rest lets the configuration allow another time of rest.
+// changeIdleLimit puts a configuration with another idle limit of connections into the store.
 func (s *soak) changeIdleLimit() {
 	s.idle = time.Duration(2+s.random.IntN(3)) * time.Second
 	s.faultLog.recordIdleLimit(s.idle)
 	s.configure()
 }
 
-// checkBreaks holds each connection that broke off against what the soak has done.
+// checkBrokenConnections checks that each broken connection is explained by a fault that the soak caused.
 func (s *soak) checkBrokenConnections() {
 	broken := 0
 	for _, x := range s.results {
@@ -234,11 +234,11 @@
 		switch {
 		case s.faultLog.routerDisturbed(x.router, x.began, x.ended):
 		case x.isForwardedEarly() && s.faultLog.backendMisbehaved(x.ended):
-		case x.isForwardedEarly() && took > soakTimeLimit: // the request's own time was over before it was read
+		case x.isForwardedEarly() && took > soakTimeLimit: // the time limit of the request expired before its answer was read
 		default:
-			s.t.Errorf("%s %s at %s broke off with no cause after %v: status %d, %d bytes, %v; ran %d times", x.request.ID,
+			s.t.Errorf("%s %s at %s: connection broken without a known fault after %v: status %d, %d bytes, %v; ran %d times", x.request.ID,
 				x.request.Path, x.router.name, took, x.answer.Status, len(x.answer.Body), x.answer.Err, len(s.runsOf(x.request.ID)))
 		}
 	}
-	s.t.Logf("%d connections broke off", broken)
+	s.t.Logf("%d broken connections", broken)
 }
--- a/e2e/cold_test.go
+++ b/e2e/cold_test.go
@@ -8,33 +8,33 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// TestPlatformColdBackendServerGetsFew floods three routers whose engines all say that they
-// are cold, from the moment at which they are ready: each engine gets what it bears, and is
-// sent all it can take once it says that it is warm.
+// TestPlatformColdBackendServerRateIsLimited guards against overload of engines that announce a cold start: three
+// routers are overloaded from the moment at which the engines are ready. Each engine gets a limited rate until it
+// announces that it is warm, and its full rate after that.
 func TestPlatformColdBackendServerRateIsLimited(t *testing.T) {
 	p := newPlatform(t, 3, "--cold-overshoot", "1.5", "--cold-slack", "5")
-	const bound = 14 // in any second: 6.1 times the one, and the other
+	const bound = 14 // per second: 6.1 times the overshoot, plus the slack
 	for _, b := range p.engines {
 		b.Cold = 3 * time.Second
 		b.Announce("ready")
 	}
-	await(t, "the routers know it", func() bool { return p.floodAll(200*time.Millisecond) <= 2*bound/5 })
+	await(t, "the routers limit the rate", func() bool { return p.floodAll(200*time.Millisecond) <= 2*bound/5 })
 	for range 4 {
 		before := len(p.engines[0].Runs())
 		p.floodAll(time.Second)
 		got := len(p.engines[0].Runs()) - before
 		if got > bound {
-			t.Errorf("%d requests in a second", got)
+			t.Errorf("a cold engine got %d requests in a second, more than the limit", got)
 		}
 	}
 	for _, b := range p.engines {
 		b.Cold = 0
 		b.Announce("ready")
 	}
-	await(t, "warm engines are sent to", func() bool { return p.floodAll(200*time.Millisecond) > 4*bound })
+	await(t, "warm engines get the full rate", func() bool { return p.floodAll(200*time.Millisecond) > 4*bound })
 }
 
-// floodFor lets callers ask all routers for a while, and returns how many were served.
+// floodAll sends requests to all routers for a time, and returns how many were served.
 func (p *platform) floodAll(duration time.Duration) int {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -11,34 +11,27 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// What was seen: on the league's nine routers and nine engines, 14 engines ended under one
-// request within a day; ten of its sends came later than a router needs to hear of the third end.
-//
-// How it came about: the request ended each engine within a tenth of a second of beginning to
-// run there. Its caller sent it again, with the same path, account and body, under another id and
-// to another router; the engines came back after some seconds, under other names.
-//
-// Cause: each send was the first one that anybody knew of. A router judged the backend server that
-// broke off, never the request under which it had, and told nobody.
-//
-// Proof: the test below sends such requests to routers in turn, and fails on a fleet that keeps
-// no account of them; the runs that the backend servers have noted tell how often.
+// The tests in this file guard against requests that crash one backend server after another. With nine routers and nine
+// engines, one request crashed 14 engines within a day; ten of its sends came after all routers could know of the third
+// crash. It crashed each engine within a tenth of a second, and its caller repeated it with the same path, account and
+// body, under another id and at another router; the engines restarted after some seconds under other names. A router
+// that records crashes only by backend server, and shares no record of the request, sends each repetition as a new one.
 
 const (
-	// lethal is the body of a request under which each backend server ends.
+	// crashBody is the body of a request that crashes each backend server.
 	crashBody = "what no server survives"
-	// hearsWithin is how long the fleet may take to hear of an end: for so long after the third,
-	// sends aren't counted.
+	// detectionTime is the time in which all routers must have been notified of a crash: sends within that time after
+	// the third crash aren't counted.
 	detectionTime = 3 * time.Second
-	// sendsAfter is how many further sends are allowed after that.
+	// allowedSends is how many further sends are allowed after that.
 	allowedSends = 3
-	// endedServers is how many backend servers of the pool there are in these tests.
+	// restartingServers is the number of backend servers of the pool in these tests.
 	restartingServers = 14
-	// backAfter is how long after its end a backend server starts again, under another name.
+	// restartDelay is the time from a backend server's crash to its restart under another name.
 	restartDelay = 2 * time.Second
 )
 
-// revived is a pool of backend servers that come back after they have ended.
+// restartingPool is a pool of backend servers that restart after they have ended.
 type restartingPool struct {
 	p       *platform
 	behave  users.Behaviour
@@ -50,19 +43,19 @@
 	current map[int]*users.Backend
 }
 
-// revive adds a pool of plain services that behave in one way and come back.
+// startRestartingPool replaces the plain services by a pool of servers with one behaviour, which restart.
 func (p *platform) startRestartingPool(behave users.Behaviour) *restartingPool {
 	v := &restartingPool{p: p, behave: behave, stopped: make(chan struct{}), current: map[int]*users.Backend{}}
 	for _, b := range p.services {
 		p.store.Remove("servers/" + b.Name)
-		b.Close() // routers that haven't heard of it would be served, and a whole answer clears a request
+		b.Close() // else routers that haven't seen its removal are served, and a whole answer clears a request's record
 	}
 	for i := range restartingServers {
 		v.loops.Go(func() { v.runServer(i) })
 	}
 	p.t.Cleanup(v.stop)
 	for _, r := range p.routers {
-		await(p.t, r.name+" uses a revived backend server", func() bool {
+		await(p.t, r.name+" uses a server of the restarting pool", func() bool {
 			return users.Call(r.callers, p.request("POST", "/look/first")).Status == 200
 		})
 	}
@@ -78,7 +71,7 @@
 	v.loops.Wait()
 }
 
-// keep starts a backend server again and again, until the test ends.
+// runServer starts a backend server again each time it ends, until the test ends.
 func (v *restartingPool) runServer(place int) {
 	for life := 0; ; life++ {
 		b, err := users.NewBackend(v.p.store, fmt.Sprintf("revived-%d-%d", place, life), "entries", hallA)
@@ -104,7 +97,7 @@
 	}
 }
 
-// pause lets time pass, and tells whether the test has ended meanwhile.
+// sleep waits for a time, and reports whether the test ended before that.
 func (v *restartingPool) sleep(duration time.Duration) bool {
 	select {
 	case <-v.stopped:
@@ -114,7 +107,7 @@
 	}
 }
 
-// end ends the backend servers at some places at once, for a reason of their own.
+// closeAt closes the backend servers at some places of the pool at once, independently of the requests.
 func (v *restartingPool) closeAt(places ...int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -139,7 +132,7 @@
 	return out
 }
 
-// lateSends returns how many runs began later than the fleet may take to hear of the third end.
+// sendsAfterDetection returns how many runs began more than detectionTime after the third one.
 func sendsAfterDetection(runs []users.Run) int {
 	if len(runs) < 3 {
 		return 0
@@ -148,13 +141,13 @@
 	return len(runs) - slices.IndexFunc(append(runs, users.Run{At: from}), func(r users.Run) bool { return !r.At.Before(from) })
 }
 
-// caller is one that sends the same request again and again, to the routers in turn.
+// repeatedRequest is a request that a caller sends repeatedly, to the routers in turn.
 type repeatedRequest struct {
 	method, path, body string
 	period             time.Duration
 }
 
-// callFor lets callers come for some time, and returns what each of them got, by its path.
+// sendFor sends repeated requests for a time, and returns their answers by path.
 func (p *platform) sendFor(duration time.Duration, callers []repeatedRequest) map[string][]users.Answer {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -179,6 +172,7 @@
 	return answers
 }
 
+// TestPlatformCrashInducingRequestsAreHeldBack sends requests that crash servers to routers in turn, beside ordinary ones.
 func TestPlatformCrashInducingRequestsAreHeldBack(t *testing.T) {
 	p := newPlatform(t, 6)
 	v := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond, Gap: 20 * time.Millisecond})
@@ -194,9 +188,9 @@
 		runs := v.runsOf(c.path)
 		t.Logf("%s: %d runs, %d late", c.path, len(runs), sendsAfterDetection(runs))
 		if late := sendsAfterDetection(runs); late > allowedSends {
-			t.Errorf("%s was sent %d times after the fleet should have heard of its third end, of %d", c.path, late, len(runs))
+			t.Errorf("%s was sent %d times after all routers should have been notified of its third crash, of %d", c.path, late, len(runs))
 		}
-		// The last of all may be a try; of the last ten, two at the most are.
+		// A held-back request is tried now and then: the last one may be such a try, and at most two of the last ten.
 		refused := 0
 		for _, got := range answers[c.path][max(len(answers[c.path])-10, 0):] {
 			if got.Status == 503 && got.RetryAfter != "" {
@@ -204,19 +198,20 @@
 			}
 		}
 		if refused < 8 {
-			t.Errorf("%s is refused %d times of the last ten", c.path, refused)
+			t.Errorf("%s was refused %d times of the last ten, want at least 8", c.path, refused)
 		}
 	}
 	for _, c := range callers[2:] {
 		last := answers[c.path][len(answers[c.path])-1]
 		if last.Status != 200 {
-			t.Errorf("%s, a sound one, is last answered with %d %s", c.path, last.Status, last.Body)
+			t.Errorf("%s, an ordinary request, was last answered with %d %s", c.path, last.Status, last.Body)
 		}
 	}
 }
 
-// TestPlatformSoundRequestsOutliveWaves ends backend servers in waves, for a reason of their own, under
-// requests that come again: each of them is served soon after the last wave.
+// TestPlatformOrdinaryRequestsSurviveServerFailures guards against ordinary requests that are held back because backend
+// servers failed for other reasons: servers are closed in waves while callers repeat requests, and each request must be
+// served soon after the last wave.
 func TestPlatformOrdinaryRequestsSurviveServerFailures(t *testing.T) {
 	p := newPlatform(t, 4)
 	v := p.startRestartingPool(users.Behaviour{Gap: 100 * time.Millisecond})
@@ -240,19 +235,19 @@
 	for _, c := range callers {
 		got := answers[c.path]
 		if last := got[len(got)-1]; last.Status != 200 {
-			t.Errorf("%s is last answered with %d %s", c.path, last.Status, last.Body)
+			t.Errorf("%s was last answered with %d %s", c.path, last.Status, last.Body)
 		}
 	}
 }
 
-// TestPlatformHeldBackRequestsOutliveAllRouters kills all routers at once, after a request has been held
-// back: the new ones know it, and one that starts by itself hears of it from the others.
+// TestPlatformHeldBackRequestsSurviveRestartOfAllRouters guards against the loss of held-back requests when all routers
+// are killed at once: new routers read them from the store, and one that starts later receives them from the others.
 func TestPlatformHeldBackRequestsSurviveRestartOfAllRouters(t *testing.T) {
 	p := newPlatform(t, 3)
 	v := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond})
 	crashing := []repeatedRequest{{"POST", "/claim/lethal", crashBody, 300 * time.Millisecond}}
 	p.sendFor(3*time.Second, crashing)
-	await(t, "the store keeps it", func() bool { return len(p.store.Keys("tamarindstep/held")) == 1 })
+	await(t, "the held-back request is stored", func() bool { return len(p.store.Keys("tamarindstep/held")) == 1 })
 	for _, r := range p.routers {
 		p.is.NoErr(r.cmd.Process.Kill())
 		<-r.exited
@@ -267,7 +262,7 @@
 	}
 	p.sendFor(10*time.Second, crashing)
 	if more := len(v.runsOf("/claim/lethal")) - before; more > allowedSends {
-		t.Errorf("sent %d times more by routers that started anew", more)
+		t.Errorf("the request was sent %d more times by restarted routers", more)
 	}
 	p.is.NoErr(p.routers[0].cmd.Process.Kill())
 	<-p.routers[0].exited
--- a/e2e/crashing_service_test.go
+++ b/e2e/crashing_service_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// fragile is a plain service that ends under a request with the lethal body, and starts again at the
-// same address after a while.
+// crashingService is a plain service that ends when it gets a request with crashBody, and restarts at the same address
+// after restartDelay.
 type crashingService struct {
 	address string
 	mu      sync.Mutex
-	runs    int // of lethal requests
+	runs    int // of requests with crashBody
 	stopped bool
 	server  *http.Server
 }
@@ -70,8 +70,8 @@
 	return f.runs
 }
 
-// TestRequestsThatEndServersAreHeldBack is of the product's own interface: its backend servers start
-// again under their names, and a caller sends what ends them to the routers in turn.
+// TestCrashInducingRequestsAreHeldBack guards against requests that crash one backend server after another, with the
+// product's own interface: servers restart under their names, and a caller repeats the request at the routers in turn.
 func TestCrashInducingRequestsAreHeldBack(t *testing.T) {
 	f := newFleet(t, 3)
 	var servers []*crashingService
@@ -114,21 +114,21 @@
 	}
 	t.Logf("%d runs", runs)
 	if runs > 3+allowedSends {
-		t.Errorf("%d servers ended", runs)
+		t.Errorf("%d servers crashed", runs)
 	}
 	if !strings.Contains(last, "held-back") {
-		t.Errorf("last answered with %s", last)
+		t.Errorf("the last answer is %s", last)
 	}
 	f.await("a sound request is served", func() bool { status, _ := post(1, "sound"); return status == http.StatusOK })
 	f.releaseHeld()
 }
 
-// releaseHeld wants one request to be held back, as operators see it, and lets it through.
+// releaseHeld checks that the status lists exactly one held-back request, and releases it by the command line.
 func (f *fleet) releaseHeld() {
 	f.t.Helper()
 	held := f.status(f.routers[2]).Held
 	if len(held) != 1 || held[0].Account != "league" || held[0].Routers != 3 || held[0].Ends < 2 {
-		f.t.Fatalf("held back: %+v", held)
+		f.t.Fatalf("held-back requests: %+v", held)
 	}
 	for _, bad := range []string{"nonsense", "00", "0000000000000000"} {
 		if code, out := f.ctl(f.routers[0], "release", bad); code == 0 || !strings.Contains(out, "isn't a fingerprint") {
@@ -138,5 +138,5 @@
 	if code, out := f.ctl(f.routers[0], "release", held[0].Fingerprint); code != 0 {
 		f.t.Fatalf("release: exit code %d: %s", code, out)
 	}
-	f.await("nothing is held back", func() bool { return len(f.status(f.routers[1]).Held) == 0 })
+	f.await("no request is held back", func() bool { return len(f.status(f.routers[1]).Held) == 0 })
 }
--- a/e2e/descriptors_test.go
+++ b/e2e/descriptors_test.go
@@ -10,8 +10,8 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// TestPlatformRouterOutlastsExhaustedDescriptors takes away nearly all descriptors of a router
-// while many callers and probes connect, and gives them back: it is ready again, and serves.
+// TestPlatformRouterRecoversFromDescriptorExhaustion guards against a router that stops accepting connections for good
+// after it has run out of file descriptors: its limit is lowered while many callers and probes connect, then restored.
 func TestPlatformRouterRecoversFromDescriptorExhaustion(t *testing.T) {
 	p := newPlatform(t, 1)
 	is := p.is
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	time.Sleep(200 * time.Millisecond) // until the router has run out
+	time.Sleep(200 * time.Millisecond) // until the router has run out of descriptors
 	for _, c := range open {
 		is.NoErr(c.Close())
 	}
@@ -38,10 +38,11 @@
 	await(t, "requests are served", func() bool { return users.Call(r.callers, p.request("GET", "/look/1")).Status == 200 })
 }
 
-// TestPlatformRestingCallersLeaveRoom lets callers keep more connections than a router has
-// descriptors for: those beyond half of its share end with their answers.
+// TestPlatformIdleConnectionsAreLimited guards against idle connections that use up the descriptors for callers: callers
+// keep more connections open than the router has descriptors for, and it closes those beyond half of the callers' share
+// after their answer.
 func TestPlatformIdleConnectionsAreLimited(t *testing.T) {
-	p := newPlatform(t, 1, "--files", "512") // of which 95 are for callers
+	p := newPlatform(t, 1, "--files", "512") // 95 of them for callers
 	is := p.is
 	kept := 0
 	for range 80 {
--- a/e2e/evacuate_test.go
+++ b/e2e/evacuate_test.go
@@ -10,20 +10,19 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// The data halls: callers are served near their router, in hallA, unless it is evacuated.
+// The data halls. The routers are in hallA, and prefer backend servers there unless it is evacuated.
 const (
 	hallA = "hall-a"
 	hallB = "hall-b"
 )
 
-// secondHall adds a plain service in another data hall, and returns once every router has
-// sent something there.
+// addSecondHall adds a plain service in another data hall, and returns once every router has sent a request there.
 func (p *platform) addSecondHall() {
 	b := p.backendIn("service-run-b", "entries", hallB)
 	p.services = append(p.services, b)
 	p.store.Evacuate(hallA, "{}")
 	for _, r := range p.routers {
-		await(p.t, "the service in the second hall is known to "+r.name, func() bool {
+		await(p.t, "the service in the second hall is used by "+r.name, func() bool {
 			before := len(b.Runs())
 			_ = users.Call(r.callers, p.request("GET", "/look/1"))
 			return len(b.Runs()) > before
@@ -35,8 +34,8 @@
 	}
 }
 
-// lookNear sends requests of the plain service to a router, and returns how many of them
-// backend servers of hallA ran.
+// runsInHallA sends requests for the plain service to a router, and returns how many of them were run by backend
+// servers in hallA.
 func (p *platform) runsInHallA(r *router) int {
 	ran := func() int {
 		n := 0
@@ -54,8 +53,8 @@
 	return ran() - before
 }
 
-// TestPlatformEvacuatedHallGetsNothing evacuates a data hall and takes it back, where one
-// router is turned away by the store, and another starts meanwhile with old reads.
+// TestPlatformEvacuatedHallGetsNothing guards against requests to an evacuated data hall from a router that can't reach
+// the store, or from one that starts with stale reads of it. The evacuation ends for both as well.
 func TestPlatformEvacuatedHallGetsNothing(t *testing.T) {
 	p := newPlatform(t, 3)
 	p.addSecondHall()
@@ -63,7 +62,7 @@
 	for _, r := range p.routers {
 		p.is.True(p.runsInHallA(r) > 0)
 	}
-	time.Sleep(2 * time.Second) // until they have found each other
+	time.Sleep(2 * time.Second) // until the routers have discovered each other
 	p.storeProxies[0].Shut()
 	p.store.HoldStaleReads()
 	p.store.Evacuate(hallA, "{}")
@@ -79,30 +78,30 @@
 	}
 }
 
-// TestPlatformEvacuationOfEveryHall evacuates all that could serve, and names halls that
-// aren't there, with values that can't be read.
+// TestPlatformEvacuationOfEveryHall guards against requests that wait in vain when all data halls are evacuated: they are
+// refused at once. Evacuations of unknown halls have no effect, and values that can't be decoded don't matter.
 func TestPlatformEvacuationOfEveryHall(t *testing.T) {
 	p := newPlatform(t, 1)
 	is := p.is
 	to := p.routers[0].callers
 	p.store.Evacuate("hall-x", "\x00no value")
 	p.store.Evacuate("", "{}")
-	is.True(p.runsInHallA(p.routers[0]) > 0) // it changes nothing
+	is.True(p.runsInHallA(p.routers[0]) > 0) // no effect
 	p.store.Evacuate(hallA, "\x00no value")
 	await(t, "requests are refused", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 503 })
 	for _, r := range []users.Request{p.request("GET", "/look/2"), p.request("POST", "/claim/2"), p.request("POST", "/chat/2")} {
 		began := time.Now()
 		got := users.Call(to, r)
 		is.Equal(got.Status, 503)
-		is.True(time.Since(began) < time.Second) // at once, not when its time is over
+		is.True(time.Since(began) < time.Second) // at once, not when its time limit expires
 		is.Equal(len(p.runsOf(r.ID)), 0)
 	}
 	p.store.TakeBack(hallA)
 	await(t, "requests are served", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 200 })
 }
 
-// TestPlatformEvacuationsInSeries evacuates a hall again and again for moments, while the
-// watches hear nothing and the store forgets its history.
+// TestPlatformEvacuationsInSeries guards against missed changes: a hall is evacuated repeatedly for short times, while
+// watches get no events and the store compacts its history.
 func TestPlatformEvacuationsInSeries(t *testing.T) {
 	p := newPlatform(t, 2)
 	p.addSecondHall()
@@ -124,8 +123,8 @@
 	}
 }
 
-// TestEvacuateByCommandLine evacuates a data hall of the product's own fleet and takes it
-// back; the engine there gets nothing new, and no request fails.
+// TestEvacuateByCommandLine evacuates a data hall by the command line and takes it back, with the product's own
+// interface; the engine there gets no new request, and no request fails.
 func TestEvacuateByCommandLine(t *testing.T) {
 	f := newFleet(t, 3)
 	is := check(t)
--- a/e2e/faultlog_test.go
+++ b/e2e/faultlog_test.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// lingers is how long a stopping router takes requests at the least.
+	// minDrainTime is the shortest time for which a stopping router accepts requests.
 	minDrainTime = 2300 * time.Millisecond
-	// settles is how long a fault is felt after its end: routers hear of a configuration, and what a
-	// router put off while it was paused is done.
+	// settleTime is how long a fault has effects after its end: routers receive the configuration, and a
+	// router that was paused does the work that it missed.
 	settleTime = 4 * time.Second
-	// endless is longer than a soak.
+	// unbounded is longer than a soak.
 	unbounded = 24 * time.Hour
 )
 
-// span is a time in which connections may break.
+// interval is a time in which connections may break.
 type interval struct{ from, until time.Time }
 
-// causes is what a soak has done that may break connections, or delay what holds for them.
+// faultLog records the faults of a soak that may break connections or delay the configuration.
 type faultLog struct {
 	mu                   sync.Mutex
 	disturbances         map[*router][]interval
-	reached              map[*router]bool // have been reached: one that starts waits for the store first
-	backendFaults        []time.Time      // when backend servers began to misbehave, or stopped
-	configurationDelayed bool             // routers may hear late of the configuration
+	reached              map[*router]bool // accepted a connection; a starting router waits for the store first
+	backendFaults        []time.Time      // when the behaviour of backend servers was changed
+	configurationDelayed bool             // routers may receive the configuration late
 	idleLimits           []idleLimit
 }
 
-// limit is how long connections might rest from a moment on.
+// idleLimit is the idle limit of connections from a point in time on.
 type idleLimit struct {
 	from time.Time
 	idle time.Duration
@@ -45,7 +45,7 @@
 	c.disturbances[r] = append(c.disturbances[r], s)
 }
 
-// ends notes a signal that ends a router: one that stops in order serves what came before its end.
+// recordStop records a signal that ends a router. After SIGTERM a router still serves requests for minDrainTime.
 func (c *faultLog) recordStop(r *router, signal syscall.Signal) {
 	from := time.Now()
 	if signal == syscall.SIGTERM {
@@ -54,7 +54,7 @@
 	c.add(r, interval{from, from.Add(unbounded)})
 }
 
-// listens notes that a router was reached.
+// recordReached records that a router accepted a connection.
 func (c *faultLog) recordReached(r *router) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,22 +87,22 @@
 	c.backendFaults = append(c.backendFaults, time.Now())
 }
 
-// lag notes that from now on routers may hear late of the configuration.
+// recordConfigurationDelay records that from now on routers may receive the configuration late.
 func (c *faultLog) recordConfigurationDelay() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.configurationDelayed = true
 }
 
-// rests notes how long connections may rest from now on.
+// recordIdleLimit records the idle limit of connections from now on.
 func (c *faultLog) recordIdleLimit(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleLimits = append(c.idleLimits, idleLimit{time.Now(), idle})
 }
 
-// mayRest returns how long a connection may rest at any router: where some may not know what holds, the
-// least of all limits that held before.
+// maxIdle returns how long a connection may be idle at any router. While some routers may have an older configuration,
+// that is the smallest of all limits that may be in force.
 func (c *faultLog) maxIdle() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,15 +121,15 @@
 	return smallest
 }
 
-// disturbed tells whether a router was ended or paused in a time.
+// routerDisturbed reports whether a router was stopped or paused in a period.
 func (c *faultLog) routerDisturbed(r *router, from, until time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.ContainsFunc(c.disturbances[r], func(s interval) bool { return s.from.Before(until) && from.Before(s.until) })
 }
 
-// misbehaved tells whether a backend server may have broken off an answer that came in a time: one
-// that began to misbehave before does so until it is told otherwise.
+// backendMisbehaved reports whether a backend server may have broken off an answer before a point in time. A server
+// keeps its behaviour until it is changed.
 func (c *faultLog) backendMisbehaved(until time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/e2e/irregular_callers_test.go
+++ b/e2e/irregular_callers_test.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// oddRounds is how often each odd caller asks while the crowd does.
+	// irregularRounds is how often each irregular caller sends its requests during the overload.
 	irregularRounds = 10
-	// pieceGap is between two parts of what an odd caller sends, longer than a connection waits at the door.
+	// partGap is the pause between two parts of a request: longer than a router waits for the first bytes on a new
+	// connection before it handles the connection as an ordinary one.
 	partGap = 30 * time.Millisecond
 )
 
-// oddCallers are callers whose requests don't come whole with their connections, by what they do. Each sends a number of requests.
+// irregularCallers are callers that don't send one whole request right after connecting, by what they do instead.
 var irregularCallers = map[string]struct {
 	requests int
 	send     func(p *platform, c *users.Caller) error
 }{
-	"header in pieces": {1, func(p *platform, c *users.Caller) error {
+	"header in parts": {1, func(p *platform, c *users.Caller) error {
 		text := rawRequest(p, "the body")
 		for _, part := range []string{text[:20], text[20:90], text[90:]} {
 			if err := c.Write(part); err != nil {
@@ -42,7 +43,7 @@
 		time.Sleep(partGap)
 		return c.Write(text[len(text)-streamBody/2:])
 	}},
-	"two at once": {2, func(p *platform, c *users.Caller) error {
+	"two requests in one write": {2, func(p *platform, c *users.Caller) error {
 		return c.Write(rawRequest(p, "first") + rawRequest(p, "second"))
 	}},
 	"chunked": {1, func(p *platform, c *users.Caller) error {
@@ -50,13 +51,13 @@
 		r.Chunked = true
 		return c.Send(r)
 	}},
-	"silent first": {1, func(p *platform, c *users.Caller) error {
+	"silent at first": {1, func(p *platform, c *users.Caller) error {
 		time.Sleep(10 * partGap)
 		return c.Send(p.request("POST", "/chat/1"))
 	}},
 }
 
-// rawRequest returns the text of a request with a body.
+// rawRequest returns the bytes of a new request with a body.
 func rawRequest(p *platform, body string) string {
 	r := p.request("POST", "/chat/1")
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nTamarindstep-Request-Id: %s\r\nTamarindstep-Key: %s\r\n"+
@@ -64,8 +65,9 @@
 		r.Path, users.Host, r.ID, r.Key, len(body), body)
 }
 
-// TestPlatformOddCallersOfACrowdGetWholeAnswers guards against callers that are cut off as a crowd is refused on its new connections:
-// one whose request comes in parts, or with another one, gets an answer or a refusal to each as without a crowd.
+// TestPlatformIrregularCallersGetWholeAnswersUnderOverload guards against connections that are cut off because the router
+// expects one whole request on each new connection when it refuses under overload: a request that arrives in parts, or
+// together with another one, gets an answer or a refusal as it does without overload.
 func TestPlatformIrregularCallersGetWholeAnswersUnderOverload(t *testing.T) {
 	p := newThrottledPlatform(t, floodEngines, users.Behaviour{Events: shortEvents, Gap: streamGap})
 	ended := make(chan struct{})
@@ -86,7 +88,7 @@
 	<-ended
 }
 
-// askOddly lets an odd caller send its requests over a connection of its own, and checks the answers.
+// callIrregularly sends the requests of an irregular caller over a new connection, and checks the answers.
 func callIrregularly(p *platform, name string) {
 	c, err := users.Dial(p.routers[0].callers)
 	if err != nil {
@@ -106,7 +108,8 @@
 	}
 }
 
-// checkOdd checks that an answer is whole, and served or refused with when to come back; it tells whether another follows.
+// checkIrregularAnswer checks that an answer is whole, and a success or a refusal with a Retry-After header. It reports
+// whether the connection remains open.
 func checkIrregularAnswer(t testing.TB, what string, got users.Answer) bool {
 	t.Helper()
 	refused := got.Status == http.StatusServiceUnavailable && got.RetryAfter != ""
--- a/e2e/leftovers_test.go
+++ b/e2e/leftovers_test.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// leftoversGone is how long after its last caller a router may keep something of callers.
+	// cleanupTime is the time in which a router must release everything that belongs to callers, after the last of them.
 	cleanupTime = 10 * time.Second
-	// spareGoroutines is how many more goroutines a router may have than one that served nobody: those
-	// of connections to backend servers, and of others' calls.
+	// extraGoroutines is how many more goroutines a router may have than one that has served no request: those of
+	// connections to backend servers, and of calls by other routers.
 	extraGoroutines = 24
 )
 
-// checkLeftovers checks that the routers have no connection, no unsent byte and no goroutine of callers, ten
-// seconds after the last of them at the latest.
+// checkLeftovers checks that within ten seconds after the last caller the routers have no connection, no unsent byte and
+// no goroutine that belongs to a caller.
 func (s *soak) checkLeftovers(baseline int) {
 	gone := time.Now().Add(cleanupTime)
 	for _, r := range s.routers {
 		if !s.faultLog.wasReached(r) {
-			continue // it has had no callers
+			continue // no caller has reached it
 		}
 		left := leftovers(s.t, r, baseline)
 		for left != "" && time.Now().Before(gone) {
@@ -39,19 +39,20 @@
 			left = leftovers(s.t, r, baseline)
 		}
 		if left != "" {
-			s.t.Errorf("%s: %s left", r.name, left)
+			s.t.Errorf("%s still has %s after its last caller", r.name, left)
 		}
 	}
 }
 
-// leftovers returns what a router has of callers, "" for nothing.
+// leftovers describes what a router still has of callers, "" for nothing. The baseline is its number of goroutines
+// before the first caller.
 func leftovers(t testing.TB, r *router, baseline int) string {
 	t.Helper()
 	if n := connections(t, r.callers); n > 0 {
 		return fmt.Sprintf("%d connections", n)
 	}
 	if n := goroutines(t, r); n > baseline+extraGoroutines {
-		return fmt.Sprintf("%d goroutines, %d at first", n, baseline)
+		return fmt.Sprintf("%d goroutines, initially %d", n, baseline)
 	}
 	return ""
 }
@@ -68,7 +69,7 @@
 	return n
 }
 
-// metricsOf returns a router's counters as it writes them.
+// metricsOf returns a router's metrics in the text format.
 func metricsOf(t testing.TB, r *router) string {
 	t.Helper()
 	is := is.New(t)
@@ -80,14 +81,14 @@
 	return string(text)
 }
 
-// The states of connections in /proc/net/tcp that hold nothing of a process.
+// The states in /proc/net/tcp of sockets that aren't connections of a process.
 const (
 	stateTimeWait = "06"
 	stateListen   = "0A"
 )
 
-// connections returns how many connections to an IP and port the system has, those that are listening
-// or remembered left out. One that was closed stays there until all of its bytes have been taken.
+// connections returns how many connections the system has at a local IP and port, without sockets that are listening or
+// in TIME_WAIT. A closed connection counts until the peer has acknowledged all of its bytes.
 func connections(t testing.TB, address string) int {
 	t.Helper()
 	is := is.New(t)
@@ -106,7 +107,7 @@
 	return n
 }
 
-// procAddress returns an IP and port as /proc/net/tcp writes it, on machines whose least byte comes first.
+// procAddress returns an IP and port in the format of /proc/net/tcp on little-endian machines.
 func procAddress(a netip.AddrPort) string {
 	ip := net.IP(a.Addr().AsSlice()).To4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port())
--- a/e2e/misuse_test.go
+++ b/e2e/misuse_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// mannersStall is how long a caller may take nothing of its answer: longer than a backend server may be silent
-	// before its caller's leaving is held against it, twice the objective of 800 ms.
+	// misuseStallLimit is how long a caller may read nothing of its answer. A caller that leaves counts as a failure of a
+	// backend server that has been silent for twice the objective of 800 ms; the limit is longer than that.
 	misuseStallLimit = 2 * time.Second
-	// endsSoon bounds what a router must end by itself.
+	// closeTimeout bounds the time in which a router must close a connection.
 	closeTimeout = 20 * time.Second
 )
 
-// manners is a router whose bounds are short, and a caller that does what it shouldn't.
+// misuse is a router with short limits, and a caller that doesn't behave as it should.
 type misuse struct {
 	*platform
 	caller *users.Caller
@@ -46,14 +46,14 @@
 	}
 }
 
-// checkGone checks that the router ends with nothing of its callers.
+// checkNoConnections waits until the router has no connection to a caller.
 func (m *misuse) checkNoConnections() {
 	m.t.Helper()
-	await(m.t, "nothing is left of the callers", func() bool { return connections(m.t, m.routers[0].callers) == 0 })
+	await(m.t, "the router has no connection to a caller", func() bool { return connections(m.t, m.routers[0].callers) == 0 })
 }
 
-// TestPlatformCallerSendsAByteASecond guards against callers that hold a place by sending very slowly: the header must come
-// in the configuration's time, 3 s.
+// TestPlatformCallerSendsAByteASecond guards against callers that occupy a connection by sending very slowly: the header
+// must arrive within the configured timeout of 3 s.
 func TestPlatformCallerSendsAByteASecond(t *testing.T) {
 	m := newMisuse(t)
 	sent := 0
@@ -72,11 +72,11 @@
 	m.checkNoConnections()
 }
 
-// TestPlatformCallerNeverReads guards against answers that are held for callers which take nothing: each is broken off after
-// the bound and counted, while others are served.
+// TestPlatformCallerNeverReads guards against answers that are kept for callers which never read them: each is broken off
+// after the stall limit and counted, while other callers are served.
 func TestPlatformCallerNeverReads(t *testing.T) {
 	m := newMisuse(t)
-	const callers, requests = 20, 8 // answers of 1 MB, far more than the system takes
+	const callers, requests = 20, 8 // answers of 1 MB, far more than the kernel buffers
 	for range callers {
 		c, err := users.DialNarrow(m.routers[0].callers)
 		m.is.NoErr(err)
@@ -86,19 +86,19 @@
 		}
 	}
 	m.checkOthers()
-	await(t, "all are broken off", func() bool { return m.hasMetric(`tamarindstep_broken_answers_total{cause="caller-stalled"} 20`) })
+	await(t, "all answers are broken off", func() bool { return m.hasMetric(`tamarindstep_broken_answers_total{cause="caller-stalled"} 20`) })
 	m.caller.Close()
 	m.checkNoConnections()
 	m.checkOthers()
 }
 
-// counted tells whether the router's counters have a line.
+// hasMetric reports whether the router's metrics contain a line.
 func (m *misuse) hasMetric(line string) bool { return strings.Contains(m.metrics(), line) }
 
 func (m *misuse) metrics() string { return metricsOf(m.t, m.routers[0]) }
 
-// TestPlatformCallersReadTooSlowly guards against backend servers that pass for failed as callers take their answers more slowly
-// than the time of their requests allows.
+// TestPlatformCallersReadTooSlowly guards against backend servers that are considered failed because callers read their
+// answers too slowly for the time limits of their requests.
 func TestPlatformCallersReadTooSlowly(t *testing.T) {
 	m := newMisuse(t)
 	const slow = 20
@@ -113,7 +113,7 @@
 		m.is.NoErr(c.Send(r))
 		callers.Go(func() {
 			if got := c.Read(); got.Err == nil {
-				t.Errorf("%s was whole", r.ID)
+				t.Errorf("%s: the answer was whole, want it broken off at the time limit", r.ID)
 			}
 		})
 	}
@@ -122,8 +122,8 @@
 	m.checkOthers()
 }
 
-// TestPlatformCallersLeaveUnread guards against backend servers that pass for failed as callers leave which have read nothing
-// for long, of answers that are held whole and of those that are passed on.
+// TestPlatformCallersDisconnectWithoutReading guards against backend servers that are considered failed because callers
+// disconnect after reading nothing for a while, both for answers that are buffered whole and for those forwarded early.
 func TestPlatformCallersDisconnectWithoutReading(t *testing.T) {
 	for _, size := range []int{maxBufferedAnswer, maxAnswer} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestPlatformCallerHalfCloses guards against work for callers that are gone: one that ends its writing counts as such, as the
-// two can't be told apart. Nothing runs twice, and the connection ends without an answer.
+// TestPlatformCallerHalfCloses guards against work for callers that have left: one that closes its sending side counts as
+// such, as the two can't be distinguished. Nothing runs twice, and the connection is closed without an answer.
 func TestPlatformCallerHalfCloses(t *testing.T) {
 	m := newMisuse(t)
 	m.behave(m.services, users.Behaviour{Gap: 100 * time.Millisecond})
@@ -163,8 +163,8 @@
 	m.checkNoConnections()
 }
 
-// TestPlatformCallerSendsAhead guards against answers that are mixed up or lost as the next requests are there already: they come
-// in order, each whole.
+// TestPlatformCallerSendsAhead guards against answers that are mixed up or lost when a caller pipelines its requests: they
+// arrive in order, each whole.
 func TestPlatformCallerSendsAhead(t *testing.T) {
 	m := newMisuse(t)
 	var sent []users.Request
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestPlatformCallerSendsMoreThanItSaid guards against a body's surplus that is taken for part of it: the request is served as it
-// was said, the rest is refused as a request, and the connection ends.
+// TestPlatformCallerSendsMoreThanItsContentLength guards against surplus bytes that are taken as part of the body: the
+// request is served with its declared length, the rest is refused as a malformed request, and the connection is closed.
 func TestPlatformCallerSendsMoreThanItsContentLength(t *testing.T) {
 	m := newMisuse(t)
 	r := m.request("POST", "/claim/1")
--- a/e2e/overload_bench_test.go
+++ b/e2e/overload_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// BenchmarkPlatformRefusalByHeader measures the processor time that a router spends on a request of a crowd that
-// it refuses by its header, on connections that go on.
+// BenchmarkPlatformRefusalByHeader measures the processor time that a router spends on a request that it refuses by its
+// header under overload, on connections that are kept.
 func BenchmarkPlatformRefusalByHeader(b *testing.B) {
 	p := newPlatform(b, 1, "--processor", "0.01")
 	p.behave(p.engines, users.Behaviour{Events: streamEvents, Gap: time.Second})
@@ -24,7 +24,7 @@
 	b.ReportMetric(float64(refused)/float64(b.N), "refused/req")
 }
 
-// BenchmarkPlatformRefusalOfNewConnections measures the same where each request has a connection of its own.
+// BenchmarkPlatformRefusalOfNewConnections measures the same with a new connection for each request.
 func BenchmarkPlatformRefusalOfNewConnections(b *testing.B) {
 	p := newPlatform(b, 1, "--processor", "0.01")
 	p.behave(p.engines, users.Behaviour{Events: streamEvents, Gap: time.Second})
@@ -35,7 +35,8 @@
 	b.ReportMetric(1-float64(served)/float64(b.N), "refused/req")
 }
 
-// pressOn makes so many requests of a path, on as many connections as there are callers, and returns how many were refused.
+// callOnKeptConnections sends a number of requests for a path, with one connection per caller, and returns how many
+// were refused.
 func callOnKeptConnections(p *platform, path string, requests int) int64 {
 	var callers sync.WaitGroup
 	var last, refused atomic.Int64
--- a/e2e/overload_test.go
+++ b/e2e/overload_test.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// floodCallers make a connection for each request, floodPause after the answer before, for floodFor.
+	// floodCallers open a connection for each request, floodPause after the previous answer, for floodTime.
 	floodCallers = 1200
 	floodPause   = 20 * time.Millisecond
 	floodTime    = 12 * time.Second
-	// floodEngines are enough that none of them is what the flood waits for.
+	// floodEngines is large enough that the engines don't limit the rate.
 	floodEngines = 10
-	// busyLoops share the router's only processor with it, so that it has a tenth.
+	// busyLoops is the number of processes that share the router's only processor and leave it a tenth.
 	busyLoops = 9
 )
 
-// longestEventWait is how long the router's decisions may come late, in seconds: callers need one within a quarter of their
-// objective, which is 800 ms here. It is the first bound of the histogram from there on.
+// maxEventWait is the longest wait of an event of the router's event loop, in seconds: callers need a decision within a
+// quarter of their latency objective, which is 800 ms here. It is the histogram's first bucket bound above that.
 const maxEventWait = 0.256
 
-// TestPlatformFloodedRouterGoesOnDeciding is of a router that is short of processor time, and that made no decision for up to three
-// seconds while it went on accepting connections and refusing what came on them.
+// TestPlatformEventLoopIsNotDelayedUnderOverload guards against starvation of the event loop: a router short of processor
+// time made no decision for up to three seconds, while it accepted connections and refused the requests on them.
 func TestPlatformEventLoopIsNotDelayedUnderOverload(t *testing.T) {
 	p := newThrottledPlatform(t, floodEngines, users.Behaviour{Events: streamEvents, Gap: streamGap})
 	served := flood(p, floodCallers, floodTime)
 	late, all := countAbove(t, metricsOf(t, p.routers[0]), "tamarindstep_core_event_wait_seconds", maxEventWait)
-	t.Logf("%d requests served; %.0f of %.0f events waited for over %v s", served, late, all, maxEventWait)
+	t.Logf("%d requests served; %.0f of %.0f events waited more than %v s", served, late, all, maxEventWait)
 	p.is.True(served > 0)
 	p.is.Equal(late, 0.0)
 }
 
-// shortOfProcessor starts one router, which has a tenth of a processor, before so many engines beside the usual ones.
+// newThrottledPlatform starts one router with a tenth of a processor, and a number of engines in addition to the usual ones.
 func newThrottledPlatform(t *testing.T, engines int, behaviour users.Behaviour) *platform {
 	t.Helper()
 	var p *platform
@@ -60,20 +60,22 @@
 }
 
 const (
-	// shortEvents is the length of what the crowd's callers get, and shortEngines have places for many times what the router can serve.
+	// shortEvents is the number of events of a stream, and shortEngines the number of engines, whose slots suffice for
+	// many times the rate that the router can serve.
 	shortEvents  = 8
 	shortEngines = 60
-	// crowdFor is how long the crowd asks.
+	// overloadTime is the length of the overload.
 	overloadTime = 8 * time.Second
-	// countedWithin is how soon the router's counters tell of what it has done.
+	// counterDelay is the longest delay of the router's counters.
 	counterDelay = 2 * time.Second
-	// ordinaryPart is the part of what is refused that may cost what a connection that is served costs: refusing is to take no
-	// more than a quarter of a router's processor, of which it took three quarters.
+	// maxOrdinaryShare is the largest share of refusals on connections that were set up like those of served requests, and
+	// cost as much: refusals may take a quarter of a router's processor time, and took three quarters of it.
 	maxOrdinaryShare = 0.25
 )
 
-// TestPlatformCrowdIsRefusedAtTheDoor is of an account all of whose callers reached one small router, and that got less than half of
-// what the best served one did: taking each new connection and refusing what came on it left no processor to the streams of the others.
+// TestPlatformOverloadIsRefusedCheaply guards against refusals that use up a small router's processor: all callers of one
+// account reached it, and setting up each new connection to refuse its request left no processor time for the streams. The
+// account got less than half of what the best served one did.
 func TestPlatformOverloadIsRefusedCheaply(t *testing.T) {
 	p := newThrottledPlatform(t, shortEngines, users.Behaviour{Events: shortEvents, Gap: streamGap})
 	served := flood(p, floodCallers, overloadTime)
@@ -82,13 +84,13 @@
 	ordinary := metricValue(t, metrics, `tamarindstep_callers_work_total{kind="refused_new"}`)
 	sent := metricValue(t, metrics, `tamarindstep_callers_work_total{kind="sent"}`)
 	refused := metricValue(t, metrics, `tamarindstep_refusals_total{code="queue-full"}`)
-	t.Logf("%d served; %.0f requests sent, %.0f refused by their header, %.0f of them on connections that were taken for them", served, sent, refused, ordinary)
+	t.Logf("%d served; %.0f requests sent, %.0f refused by their header, %.0f of them on connections set up as ordinary ones", served, sent, refused, ordinary)
 	p.is.True(served > 0)
 	p.is.True(refused > sent)
 	p.is.True(ordinary <= maxOrdinaryShare*refused)
 }
 
-// onProcessor runs a function whose new processes run on one processor only.
+// runPinned runs a function so that the processes that it starts run only on the given processor.
 func runPinned(t *testing.T, n int, do func()) {
 	t.Helper()
 	runtime.LockOSThread()
@@ -107,7 +109,7 @@
 	}
 }
 
-// loop starts a process that uses whatever it gets of a processor.
+// startBusyLoop starts a process that uses all processor time that it gets.
 func startBusyLoop(t *testing.T) {
 	t.Helper()
 	c := exec.Command("sh", "-c", "while :; do :; done")
@@ -120,7 +122,7 @@
 	})
 }
 
-// flood lets so many callers ask for so long, and returns how many requests were served.
+// flood runs a number of callers for a time, and returns how many requests were served.
 func flood(p *platform, number int, duration time.Duration) int64 {
 	var callers sync.WaitGroup
 	var last, served atomic.Int64
@@ -141,19 +143,19 @@
 	return served.Load()
 }
 
-// above returns how many values of a histogram are above one of its bounds, and how many there are.
+// countAbove returns how many values of a histogram are above one of its bucket bounds, and their total number.
 func countAbove(t *testing.T, metrics, name string, bound float64) (late, all float64) {
 	t.Helper()
 	all = metricValue(t, metrics, name+"_count")
 	return all - metricValue(t, metrics, fmt.Sprintf("%s_bucket{le=\"%g\"}", name, bound)), all
 }
 
-// metric returns the value of a metric by its name and labels.
+// metricValue returns the value of a metric by its name and labels.
 func metricValue(t *testing.T, metrics, key string) float64 {
 	t.Helper()
 	_, rest, ok := strings.Cut(metrics, "\n"+key+" ")
 	if !ok {
-		t.Fatal("no metric " + key)
+		t.Fatal("no such metric: " + key)
 	}
 	text, _, _ := strings.Cut(rest, "\n")
 	n, err := strconv.ParseFloat(text, 64)
