--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs real router processes against stand-ins in the test's own
-// process, and breaks them: it kills, freezes and stops routers by their ids.
+// Package e2e tests real router processes against stand-ins in the test's own process. It injects faults: it kills, pauses
+// and stops router processes by their ids.
 package e2e
 
 import (
@@ -21,13 +21,13 @@
 
 	"github.com/tamarindstep/tamarindstep/config"
 	"github.com/tamarindstep/tamarindstep/ctl"
-	_ "github.com/tamarindstep/tamarindstep/daemon" // so that go test doesn't take an old result for a changed router
+	_ "github.com/tamarindstep/tamarindstep/daemon" // makes the cached results of go test depend on the router
 	"github.com/tamarindstep/tamarindstep/internal/standin"
 	"github.com/tamarindstep/tamarindstep/status"
 	"github.com/tamarindstep/tamarindstep/vmlist"
 )
 
-// generous bounds what is waited for: no test asserts a time below it.
+// maxWait is the longest time to wait for a condition.
 const maxWait = 60 * time.Second
 
 var binary string
@@ -51,12 +51,12 @@
 // router is one router process.
 type router struct {
 	name, callers, admin, peers string
-	noStore                     bool // it can't reach the store
+	noStore                     bool // whether it can't reach the store
 	cmd                         *exec.Cmd
 	exited                      chan error
 }
 
-// fleet is a set of routers with what surrounds them.
+// fleet is a set of routers with the product's own interface, and the stand-ins that they use.
 type fleet struct {
 	t       testing.TB
 	dir     string
@@ -85,8 +85,7 @@
 	return server.Address()
 }
 
-// newFleet starts the stand-ins and a number of routers, and puts a
-// configuration in force.
+// newFleet starts the stand-ins and a number of routers, and applies a configuration.
 func newFleet(t testing.TB, routers int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir(), store: standin.NewStore(), vms: standin.NewVMList(0), address: map[string]string{}}
@@ -115,8 +114,8 @@
 		t.Fatalf("apply: exit code %d: %s", code, out)
 	}
 	f.awaitReady(f.routers...)
-	f.await("a whole fleet", func() bool { return f.allReadyAt(f.routers[0]) })
-	time.Sleep(time.Second) // new owners wait for the reports of those that use their backend servers
+	f.await("all routers live and ready", func() bool { return f.allReadyAt(f.routers[0]) })
+	time.Sleep(time.Second) // new owners wait for reports from the routers that use their backend servers
 	return f
 }
 
@@ -128,7 +127,7 @@
 	return path
 }
 
-// configuration returns an operators' file; more is added to the account.
+// configuration returns a configuration file, with additional lines for the account.
 func (f *fleet) configuration(more string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version: 1\naccounts:\n  - name: league\n    keys: [%q]\n%s", config.HashKey(leagueKey), more)
@@ -198,7 +197,7 @@
 	}
 }
 
-// kill ends a router at once and waits until it is gone.
+// kill ends a router by SIGKILL and waits until it has exited.
 func (f *fleet) kill(r *router) {
 	f.signal(r, syscall.SIGKILL)
 	<-r.exited
@@ -211,7 +210,7 @@
 			return
 		}
 	}
-	f.t.Fatalf("gave up waiting for %s", what)
+	f.t.Fatalf("timed out waiting for %s", what)
 }
 
 func (f *fleet) awaitHealth() {
@@ -237,7 +236,7 @@
 	return resp.StatusCode
 }
 
-// ctl runs the operators' command line against a router.
+// ctl runs the operators' command line against a router, and returns its exit code and output.
 func (f *fleet) ctl(r *router, args ...string) (int, string) {
 	var out bytes.Buffer
 	args = append([]string{"--router", r.admin, "--operator-token-file", filepath.Join(f.dir, "token")}, args...)
@@ -245,7 +244,7 @@
 	return code, out.String()
 }
 
-// status returns the fleet as a router sees it.
+// status returns the status of the fleet as a router reports it.
 func (f *fleet) status(r *router) status.Fleet {
 	var out status.Fleet
 	code, text := f.ctl(r, "status", "-o", "json")
@@ -255,7 +254,7 @@
 	return out
 }
 
-// wholeFrom tells whether a router sees all routers live and ready.
+// allReadyAt reports whether a router's status lists all routers as live and ready.
 func (f *fleet) allReadyAt(r *router) bool {
 	live := 0
 	for _, other := range f.status(r).Routers {
@@ -266,9 +265,9 @@
 	return live == len(f.routers)
 }
 
-// answer is what a caller got.
+// answer is a caller's result.
 type answer struct {
-	err     error // none came, or it broke off
+	err     error // no answer, or a broken one
 	status  int
 	outcome string // of a refusal
 	code    string
@@ -277,7 +276,7 @@
 
 func (a answer) notRun() bool { return a.outcome == "not-run" }
 
-// call sends a request as a caller; headers come in pairs.
+// call sends a request as a caller; headers are pairs of name and value.
 func (f *fleet) call(r *router, path, body string, headers ...string) answer {
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.callers+path, strings.NewReader(body))
 	if err != nil {
@@ -307,7 +306,7 @@
 	return out
 }
 
-// stream asks for a streamed answer and returns its tokens' texts.
+// stream requests a streamed answer and returns the texts of its tokens.
 func (f *fleet) stream(r *router, id string, tokens int) ([]string, error) {
 	a := f.call(r, "/v1/completions", fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":%d,"prompt":"x"}`, tokens), "X-Request-Id", id)
 	if a.err == nil && a.status != http.StatusOK {
@@ -332,24 +331,23 @@
 	return out, a.err
 }
 
-// wholeStream checks that a streamed answer is the whole answer to its own
-// request.
+// checkStream returns an error unless a streamed answer is the complete answer to its own request.
 func checkStream(id string, tokens int, got []string, err error) error {
 	if err != nil {
 		return err
 	}
 	if len(got) != tokens {
-		return fmt.Errorf("%d tokens of %d", len(got), tokens)
+		return fmt.Errorf("got %d tokens of %d", len(got), tokens)
 	}
 	for i, text := range got {
 		if want := fmt.Sprintf("%s#%d ", id, i); text != want {
-			return fmt.Errorf("token %q instead of %q", text, want)
+			return fmt.Errorf("got token %q, want %q", text, want)
 		}
 	}
 	return nil
 }
 
-// runs returns how often a request was run by any backend server.
+// runs returns how many times a request was run, by all backend servers together.
 func (f *fleet) runs(id string) int {
 	sum := f.service.Runs()[id]
 	for _, e := range f.engines {
--- a/e2e/guarantees_test.go
+++ b/e2e/guarantees_test.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin"
 )
 
-// together runs a function a number of times at once.
+// concurrently runs a function n times at once, and waits until all calls have returned.
 func concurrently(n int, do func(i int)) {
 	var all sync.WaitGroup
 	for i := range n {
@@ -60,7 +60,7 @@
 		e.SetFaults(standin.Faults{BreakAfter: 5})
 	}
 	got, err := f.stream(f.routers[0], "broken", 20)
-	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // the caller sees a broken stream, not an end
+	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // a broken stream, not a regular end
 	is.Equal(len(got), 5)
 	whole := f.call(f.routers[1], "/v1/completions", `{"model":"once","max_tokens":9,"prompt":"x"}`, "X-Request-Id", "broken-whole")
 	is.Equal(whole.code, "backend-broke")
@@ -68,15 +68,15 @@
 	is.Equal(f.runs("broken-whole"), 1)
 }
 
-// A request that broke off, and is refused while it waits to be sent again, isn't
-// refused as not run.
+// TestRefusedAfterSendingIsUnknown guards against a request that was sent, broke off, and is reported as not run when it
+// is refused while it waits for a retry.
 func TestRefusedAfterSendingIsUnknown(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 1)
 	for _, e := range f.engines {
 		e.SetFaults(standin.Faults{BreakAfter: 1})
 	}
-	// It breaks off after 1.2 s, when it may not wait any more.
+	// It breaks off after 1.2 s, when its waiting time is over.
 	a := f.call(f.routers[0], "/v1/completions", `{"model":"chat","max_tokens":600,"prompt":"x"}`,
 		"X-Request-Id", "sent-before", "Tamarindstep-Wait", "1s")
 	is.True(f.runs("sent-before") > 0)
@@ -104,7 +104,7 @@
 			case a.err != nil:
 				t.Errorf("%s: no answer: %v", id, a.err)
 			case a.notRun() && f.runs(id) != 0:
-				t.Errorf("%s: refused as not run, and run %d times", id, f.runs(id))
+				t.Errorf("%s: refused as not run, but run %d times", id, f.runs(id))
 			case f.runs(id) > 1:
 				t.Errorf("%s: run %d times", id, f.runs(id))
 			}
@@ -117,8 +117,8 @@
 	is.Equal(notRun, 1)
 }
 
-// A key is sent through all routers at once, again after each answer, while the
-// store loses answers, and one router is frozen and another killed.
+// TestAtMostOnce guards against requests with an idempotency key that run twice: each key is sent through all routers at
+// once and again afterwards, while the store loses answers, one router is paused and another killed.
 func TestAtMostOnce(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 3)
@@ -149,9 +149,9 @@
 	concurrently(2*keys, func(i int) { send(3 * i); send(3*i + 1) })
 	for key := range keys {
 		id := fmt.Sprint("once-", key)
-		is.True(f.runs(id) <= 1)              // run at most once
-		is.True(succeeded[key] <= 1)          // and answered at most once
-		is.True(succeeded[key] <= f.runs(id)) // and not without being run
+		is.True(f.runs(id) <= 1)              // it runs at most once
+		is.True(succeeded[key] <= 1)          // it is answered at most once
+		is.True(succeeded[key] <= f.runs(id)) // and only if it was run
 	}
 }
 
@@ -170,7 +170,7 @@
 			failures[i] = checkStream(id, tokens, got, err)
 		})
 	}()
-	f.await("streams under way", func() bool {
+	f.await("half of the streams to start", func() bool {
 		sum := 0
 		for i := range streams {
 			sum += f.runs(fmt.Sprint("stop-", i))
@@ -187,8 +187,7 @@
 	is.NoErr(<-f.routers[0].exited) // exit code 0
 }
 
-// A caller that keeps its connection open, with nothing on it, doesn't hold a
-// planned stop up.
+// TestPlannedStopWithIdleCaller guards against an idle connection that delays a planned stop.
 func TestPlannedStopWithIdleCaller(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 1)
@@ -203,9 +202,8 @@
 	is.NoErr(<-f.routers[0].exited) // exit code 0
 }
 
-// All routers are replaced, one by one, under load. A caller goes on to the next
-// router where one refuses as not run or takes no connection, as behind a
-// balancer; no request fails.
+// TestRollingReplacement guards against requests that fail while all routers are replaced one by one under load. As behind
+// a load balancer, a caller tries the next router if one refuses a request as not run or doesn't accept the connection.
 func TestRollingReplacement(t *testing.T) {
 	f := newFleet(t, 3)
 	f.underLoad(8, f.streamAnywhere, func() {
@@ -216,16 +214,16 @@
 			}
 			f.start(r)
 			f.awaitReady(r)
-			f.await("a whole fleet", func() bool { return f.allReadyAt(r) })
+			f.await("all routers live and ready", func() bool { return f.allReadyAt(r) })
 		}
 	})
 }
 
-// The policy is swapped for each other under load, and no request is lost.
+// TestPolicySwapsLoseNothing guards against requests that are lost when the routing policy is changed under load.
 func TestPolicySwapsLoseNothing(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 3)
-	f.underLoad(120, f.streamOnce, func() { // more than there are slots, so that some wait
+	f.underLoad(120, f.streamOnce, func() { // more callers than slots, so that some requests wait
 		generation := uint64(1)
 		for _, policy := range []string{"static-split", "least-loaded", "fleet-fair", "least-loaded", "static-split", "fleet-fair"} {
 			file := f.write("policy.yaml", f.configuration("")+"policy: "+policy+"\n")
@@ -236,13 +234,13 @@
 			}
 			generation++
 			f.awaitGeneration(generation)
-			time.Sleep(300 * time.Millisecond) // let the policy serve some
+			time.Sleep(300 * time.Millisecond) // serve some requests with the policy
 		}
 	})
 }
 
-// underLoad runs a function while a number of callers stream through all routers; each of
-// their requests must be answered, whole.
+// underLoad runs a function while a number of callers send streaming requests to all routers. Each request must get a
+// complete answer.
 func (f *fleet) underLoad(callers int, send func(first int, id string) error, do func()) {
 	stop := make(chan struct{})
 	var load sync.WaitGroup
@@ -266,14 +264,14 @@
 	load.Wait()
 }
 
-// streamOnce streams through one router, and takes no refusal.
+// streamOnce sends a streaming request to one router; a refusal is an error.
 func (f *fleet) streamOnce(at int, id string) error {
 	const tokens = 20
 	got, err := f.stream(f.routers[at%len(f.routers)], id, tokens)
 	return checkStream(id, tokens, got, err)
 }
 
-// streamAnywhere streams through one router after another until one takes it.
+// streamAnywhere sends a streaming request to one router after another until one accepts it.
 func (f *fleet) streamAnywhere(first int, id string) error {
 	const tokens = 20
 	var err error
@@ -297,7 +295,7 @@
 	is := check(t)
 	f := newFleet(t, 2)
 	f.service.SetFaults(standin.Faults{Leaving: true})
-	f.await("the report to be seen", func() bool {
+	f.await("the report of leaving", func() bool {
 		for _, b := range f.status(f.routers[0]).Backends {
 			if b.Name == "entries-1" && b.Leaving {
 				return true
@@ -317,7 +315,7 @@
 func TestConfigurationNeverReverts(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 3)
-	// Operators race: one apply of those on one generation takes hold.
+	// Of concurrent applies on one base generation, one is accepted.
 	codes := make([]int, 6)
 	concurrently(len(codes), func(i int) {
 		file := f.write(fmt.Sprintf("race-%d.yaml", i), f.configuration(fmt.Sprintf("    limits: {queue: %d}\n", 1000+i)))
@@ -328,17 +326,17 @@
 		if code == 0 {
 			accepted++
 		} else {
-			is.Equal(code, 3) // another came first
+			is.Equal(code, 3) // conflict: another was accepted first
 		}
 	}
 	is.Equal(accepted, 1)
-	// The answer to the swap is lost, and the apply is accepted all the same.
+	// The answer to the compare-and-swap is lost, and the apply is still accepted.
 	f.store.SetFaults(standin.Faults{LoseAnswers: 1})
 	code, out := f.ctl(f.routers[1], "apply", f.write("lost.yaml", f.configuration("    limits: {queue: 77}\n")))
 	is.Equal(code, 0)
 	is.True(strings.Contains(out, "generation 3 "))
 	f.awaitGeneration(3)
-	// With the store out, a router with no memory takes what the others have.
+	// While the store is unavailable, a restarted router gets the configuration from the others.
 	f.store.SetFaults(standin.Faults{Out: true})
 	f.kill(f.routers[2])
 	f.start(f.routers[2])
@@ -347,7 +345,7 @@
 	code, text := f.ctl(f.routers[2], "get")
 	is.Equal(code, 0)
 	is.True(strings.Contains(text, "queue: 77"))
-	// An apply can't be accepted then, and says that nothing was applied.
+	// An apply can't be accepted then, and reports that nothing was applied.
 	code, _ = f.ctl(f.routers[0], "apply", f.write("out.yaml", f.configuration("    limits: {queue: 78}\n")))
 	is.Equal(code, 4)
 	f.awaitGeneration(3)
@@ -355,7 +353,7 @@
 
 func (f *fleet) awaitGeneration(generation uint64) {
 	f.t.Helper()
-	f.await(fmt.Sprint("generation ", generation, " everywhere"), func() bool {
+	f.await(fmt.Sprint("generation ", generation, " at all routers"), func() bool {
 		all := f.status(f.routers[0]).Routers
 		for _, r := range all {
 			if r.Generation != generation {
--- a/e2e/idle_test.go
+++ b/e2e/idle_test.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// longRest is longer than a router lets a caller take over a part of an answer, and shorter than
-	// the idle limit of the configuration.
+	// longIdle is longer than a router's limit for writing a part of an answer, and shorter than the configured idle limit.
 	longIdle = 11 * time.Second
-	// largeAnswer is the size in bytes of an answer above the buffers of a connection.
+	// largeAnswer is the size in bytes of an answer larger than the buffers of a connection.
 	largeAnswer = 6000
-	// smallAnswer is the size in bytes of one below all of them.
+	// smallAnswer is the size in bytes of an answer smaller than all of them.
 	smallAnswer = 16
 )
 
-// TestPlatformLargeAnswerAfterARest guards against an answer that is written under the deadline of the
-// answer before it: connections that had rested for longer were reset, though the answer was there.
+// TestPlatformLargeAnswerAfterIdleTime guards against an answer that is written with the write deadline of the previous
+// answer: connections that had been idle for longer were reset, although the answer was available.
 func TestPlatformLargeAnswerAfterIdleTime(t *testing.T) {
 	p := newPlatform(t, 1)
 	var callers sync.WaitGroup
@@ -39,7 +38,7 @@
 	callers.Wait()
 }
 
-// checkAnswer sends a request on a caller's connection, and checks that its answer is whole.
+// checkAnswer sends a request on a caller's connection, and checks that the answer is complete.
 func checkAnswer(t *testing.T, c *users.Caller, r users.Request) {
 	t.Helper()
 	if err := c.Send(r); err != nil {
--- a/e2e/notice_test.go
+++ b/e2e/notice_test.go
@@ -11,34 +11,31 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// What was seen: on the league's nine routers, requests reached an engine over two seconds after its
-// answers had told the routers that it leaves; and engines that had turned a router's requests away and asked
-// it for three seconds of rest got up to seven further ones of it in that time.
+// The tests in this file guard against routers that ignore notices in the headers of answers: that a server leaves, or
+// that it rejects a request and asks for a rest period. They count the requests that reach a server after its notice.
 //
-// How it came about: the store was silent as the engine began to leave, so its entry there said "ready" for
-// twelve seconds more. The resting engines were three of a pool of four, and callers went on coming.
-//
-// Cause: routers passed answers on and heard nothing of what stood in their heads. Leaving was known from
-// the store alone, and a server that turned a request away was left out for 50 ms, however long it asked for.
-//
-// Proof: the tests below count what reaches a server after it has spoken. With what answers say on the log,
-// the routers wrote down each word and went on sending first sends that waited for nothing.
+// With nine routers, requests reached an engine more than two seconds after its notice of leaving: the store was
+// unreachable when the engine began to leave, so that its entry there remained "ready" for another twelve seconds.
+// Engines that had rejected requests and asked a router for three seconds of rest got up to seven further requests from
+// it in that time: they were three of a pool of four under continuous load, and a router avoided a server for only
+// 50 ms after a rejection, whatever rest period it had asked for. A router that logged the notices still ignored them for
+// first attempts, which didn't wait.
 
 const (
-	// leaveWithin is how long after a router has passed the word on requests may still reach a server that leaves.
+	// maxLeaveDelay is how long requests may still reach a leaving server after a router has received its notice.
 	maxLeaveDelay = 2 * time.Second
-	// restBegins is how long after the word requests may still reach a server that rests, and restAllows how
-	// many of each router may after that.
+	// maxRestDelay is how long requests may still reach a resting server after its notice, and allowedWhileResting how
+	// many from each router may reach it after that.
 	maxRestDelay        = 500 * time.Millisecond
 	allowedWhileResting = 2
-	// heardBy is when all routers of these tests have surely had an answer of each server: each has some
-	// hundred requests a second.
+	// noticeDelay is the time in which all routers of these tests have certainly had an answer from each server: each
+	// serves some hundred requests per second.
 	noticeDelay = time.Second
-	// rest is how long a server asks to be left alone.
+	// restPeriod is the rest period that a server asks for.
 	restPeriod = 3 * time.Second
 )
 
-// newPool starts a pool of four plain services, and routers that use them; the services that every world has are gone.
+// newPool starts a pool of four plain services in place of the usual ones, and routers that use them.
 func newPool(t *testing.T, routers int) (*platform, []*users.Backend) {
 	p := newPlatform(t, routers)
 	for _, b := range p.services {
@@ -61,7 +58,7 @@
 	return p, pool
 }
 
-// crowd returns callers that come all the time.
+// continuousLoad returns a number of requests that are repeated every 5 ms.
 func continuousLoad(n int) []repeatedRequest {
 	var out []repeatedRequest
 	for i := range n {
@@ -74,13 +71,15 @@
 	return out
 }
 
-// begin lets callers come for some time, and returns what gives their answers once they have ended.
+// startLoad starts sending repeated requests for a time. The function that it returns waits for the end, and returns the
+// answers.
 func (p *platform) startLoad(long time.Duration, callers []repeatedRequest) func() map[string][]users.Answer {
 	done := make(chan map[string][]users.Answer, 1)
 	go func() { done <- p.sendFor(long, callers) }()
 	return func() map[string][]users.Answer { return <-done }
 }
 
+// statuses counts answers by their status.
 func statuses(answers map[string][]users.Answer) map[int]int {
 	out := map[int]int{}
 	for _, all := range answers {
@@ -91,6 +90,7 @@
 	return out
 }
 
+// TestPlatformServersThatAnnounceLeavingGetNothing counts requests to a server after its notice, with the store cut off.
 func TestPlatformServersThatAnnounceLeavingGetNothing(t *testing.T) {
 	p, pool := newPool(t, 3)
 	for _, proxy := range p.storeProxies {
@@ -104,20 +104,21 @@
 	time.Sleep(6 * time.Second)
 	before := leaving.Arrivals(announced.Add(-2*time.Second), announced)
 	after := leaving.Arrivals(announced.Add(noticeDelay+maxLeaveDelay), time.Now())
-	t.Logf("%d requests in the two seconds before it spoke, %d from three seconds after it", before, after)
+	t.Logf("%d requests in the two seconds before the notice, %d from three seconds after it", before, after)
 	p.is.True(before > 50)
 	if after > 0 {
-		t.Errorf("%d requests reached a server from three seconds on after it had said that it leaves", after)
+		t.Errorf("%d requests reached a server more than three seconds after its notice of leaving", after)
 	}
 	if got := statuses(answers()); got[200] == 0 || len(got) != 1 {
-		t.Errorf("callers got, by status: %v", got)
+		t.Errorf("callers got, by status: %v, want 200 only", got)
 	}
 }
 
-// spreadMost is how much later than the servers have rested callers may be asked back: these come by the hundred, and are spread.
+// maxRetrySpread is how much later than the end of the rest period a Retry-After time may be: there are hundreds of
+// callers, whose retries are spread.
 const maxRetrySpread = 3500 * time.Millisecond
 
-// refusedUntil checks that a request is refused, and its caller asked back when the servers have rested.
+// checkRefusedUntil checks that each router refuses a request, with a Retry-After time at the end of the rest period.
 func (p *platform) checkRefusedUntil(restEnd time.Time) {
 	p.t.Helper()
 	for _, r := range p.routers {
@@ -125,11 +126,12 @@
 		got := users.Call(r.callers, p.request("POST", "/claim/refused"))
 		after, err := strconv.ParseFloat(got.RetryAfter, 64)
 		if got.Status != 503 || err != nil || after < left-1 || after > left+maxRetrySpread.Seconds() {
-			p.t.Errorf("a caller whose servers rest for another %.1f s gets %d and is asked back after %q s", left, got.Status, got.RetryAfter)
+			p.t.Errorf("with another %.1f s of rest, a caller got status %d and Retry-After %q", left, got.Status, got.RetryAfter)
 		}
 	}
 }
 
+// TestPlatformRequestedRestIsRespected counts requests to servers in their rest period, and checks the refusals if all rest.
 func TestPlatformRequestedRestIsRespected(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -147,29 +149,30 @@
 			if c.resting == len(pool) {
 				p.checkRefusedUntil(restEnd)
 			}
-			// They are well a little before the time that they have asked for is over.
+			// They serve again a little before the end of their rest period.
 			time.Sleep(time.Until(restEnd.Add(-maxRestDelay)))
 			p.behave(resting, users.Behaviour{Gap: 25 * time.Millisecond})
 			time.Sleep(time.Until(restEnd))
 			for _, b := range resting {
 				got := b.Arrivals(announced.Add(maxRestDelay), restEnd)
-				t.Logf("%s got %d requests while it rested", b.Name, got)
+				t.Logf("%s got %d requests during its rest period", b.Name, got)
 				if got > allowedWhileResting*len(p.routers) {
-					t.Errorf("%s had asked for rest and got %d requests", b.Name, got)
+					t.Errorf("%s got too many requests during its rest period: %d", b.Name, got)
 				}
 			}
 			t.Logf("callers got, by status: %v", statuses(answers()))
 			for _, b := range resting {
 				if n := b.Arrivals(restEnd.Add(time.Second), restEnd.Add(restPeriod)); n < 50 {
-					t.Errorf("%s has rested and gets %d requests", b.Name, n)
+					t.Errorf("%s got too few requests after its rest period: %d", b.Name, n)
 				}
 			}
 		})
 	}
 }
 
-// TestPlatformWordsAreHeardFromTheirServerOnly lets a server say that it leaves in the head of a stream that goes on, in a
-// late answer to another request, and before its next life begins at its address.
+// TestPlatformNoticesApplyToTheirServerOnly guards against notices of leaving that are applied to the wrong server: in a
+// late answer to another request, before another server starts at the same address, and in the header of a stream that is
+// still running.
 func TestPlatformNoticesApplyToTheirServerOnly(t *testing.T) {
 	p, pool := newPool(t, 1)
 	to := p.routers[0].callers
@@ -177,7 +180,7 @@
 		b.Close()
 		p.store.Remove("servers/" + b.Name)
 	}
-	// Each serves 20 requests: late answers to others are no word of theirs.
+	// Notices in late answers to other requests aren't theirs: each server still serves some of 20 requests.
 	p.behave(pool[:2], users.Behaviour{Surplus: true, Misled: true})
 	used := func(b *users.Backend) bool {
 		n := len(b.Runs())
@@ -186,20 +189,20 @@
 		}
 		return len(b.Runs()) > n
 	}
-	await(t, "both are used again", func() bool { return used(pool[0]) && used(pool[1]) })
+	await(t, "both servers are used again", func() bool { return used(pool[0]) && used(pool[1]) })
 
 	p.behave(pool[:2], users.Behaviour{})
 	pool[0].Behave(users.Behaviour{Leaving: true})
-	await(t, "it has spoken", func() bool { return used(pool[0]) })
+	await(t, "it has sent its notice", func() bool { return used(pool[0]) })
 	p.is.True(!used(pool[0]))
 	p.is.True(used(pool[1]))
 
 	next, err := pool[0].Again("pool-run-again")
 	p.is.NoErr(err)
 	t.Cleanup(next.Close)
-	await(t, "its next life is used", func() bool { return used(next) })
+	await(t, "the new server at its address is used", func() bool { return used(next) })
 
-	// The engines answer in streams; the head tells while the rest is still to come.
+	// Engines answer in streams: the notice in the header applies while the stream is still running.
 	p.behave(p.engines, users.Behaviour{Events: 3, Gap: time.Millisecond})
 	long := users.Behaviour{Events: 40, Gap: 100 * time.Millisecond, Leaving: true}
 	p.engines[0].Behave(long)
@@ -207,7 +210,7 @@
 	ended := false
 	var streams sync.WaitGroup
 	defer streams.Wait()
-	await(t, "the head has come", func() bool {
+	await(t, "the stream has begun", func() bool {
 		r := p.request("POST", "/unhurried/1")
 		streams.Go(func() {
 			got := users.Call(to, r)
@@ -218,16 +221,16 @@
 		time.Sleep(50 * time.Millisecond)
 		return len(p.engines[0].Runs()) > 0
 	})
-	time.Sleep(200 * time.Millisecond) // until its first event has been handed on
+	time.Sleep(200 * time.Millisecond) // until its first event has been forwarded
 	for range 20 {
 		p.is.Equal(users.Call(to, p.request("POST", "/unhurried/1")).Body, completeStream(3))
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	p.is.True(!ended) // it still runs
+	p.is.True(!ended) // the stream is still running
 }
 
-// TestEnginesThatAskForRestAreLeftAlone is the same with the product's own interface, whose engines ask for rest as well.
+// TestRequestedRestIsRespected checks the same for engines with the product's own interface.
 func TestRequestedRestIsRespected(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 2)
@@ -244,12 +247,12 @@
 		}
 		return byStatus
 	}
-	await(t, "it has asked for rest", func() bool { ask(40); return resting.Turned() > 0 })
-	ask(40) // so that it has asked each router that uses it
+	await(t, "it has asked for a rest period", func() bool { ask(40); return resting.Turned() > 0 })
+	ask(40) // so that each router has received the request for rest
 	time.Sleep(maxRestDelay)
 	before := resting.Turned()
 	got := ask(200)
-	t.Logf("answers, by status: %v; %d requests turned away before, and %d of these", got, before, resting.Turned()-before)
+	t.Logf("answers, by status: %v; %d requests rejected before, and %d of these", got, before, resting.Turned()-before)
 	is.True(resting.Turned()-before <= allowedWhileResting*len(f.routers))
 	is.True(got[200] >= 190)
 	resting.SetFaults(standin.Faults{})
--- a/e2e/owncallers_test.go
+++ b/e2e/owncallers_test.go
@@ -17,17 +17,17 @@
 
 const (
 	ownCallers = 16
-	// ownStall is how long a caller may take nothing of its answer.
+	// ownStallLimit is how long a caller may read nothing of its answer.
 	ownStallLimit = 500 * time.Millisecond
-	// ownRest is the longest rest of a connection, longer than that.
+	// ownMaxIdle is the longest idle time of a connection, longer than the stall limit.
 	ownMaxIdle = 3 * ownStallLimit
-	// ownTokens is the most tokens of a stream.
+	// ownTokens is the largest number of tokens of a stream.
 	ownTokens = 200
 )
 
-// TestSoakOwn lets callers of the product's own interface keep their connections, rest, read slowly and leave, while a router
-// is stopped and started anew: each request has a whole answer or a refusal, unless its caller left or its router was
-// stopped, none runs twice, and nothing is left once the callers have gone.
+// TestSoakOwn runs callers of the product's own interface that keep connections, idle, read slowly and abort requests, while
+// a router is restarted. Each request gets a complete answer or a refusal, unless its caller aborted it or its router was
+// stopped. None runs twice, and no connection or goroutine remains after the last caller.
 func TestSoakOwn(t *testing.T) {
 	t.Setenv("TAMARINDSTEP_CALLER_STALL_SECONDS", fmt.Sprint(ownStallLimit.Seconds()))
 	for i := range *soakSeeds {
@@ -36,7 +36,7 @@
 	}
 }
 
-// ownSoak is a fleet with callers of its own interface.
+// ownSoak is a fleet with the product's own interface, under random requests.
 type ownSoak struct {
 	*fleet
 	sizes    []int // of answers
@@ -58,15 +58,15 @@
 	s.restart(s.routers[1])
 	callers.Wait()
 	for _, r := range s.routers {
-		await(t, r.name+" has nothing of its callers", func() bool { return leftovers(t, r, baseline) == "" })
+		await(t, r.name+" has released everything of its callers", func() bool { return leftovers(t, r, baseline) == "" })
 	}
 	if s.served.Load() == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served")
 	}
 	t.Logf("%d served", s.served.Load())
 }
 
-// stopAndStart stops a router and starts it anew.
+// restart stops a router and starts it again.
 func (s *ownSoak) restart(r *router) {
 	s.faultLog.recordPause(r)
 	s.signal(r, syscall.SIGTERM)
@@ -97,11 +97,11 @@
 	c.client.CloseIdleConnections()
 }
 
-// exchange sends a request, and checks what came of it.
+// exchange sends a request and checks its result.
 func (c *ownCaller) exchange() {
 	c.sent++
 	id := fmt.Sprintf("own-%d-%d", c.n, c.sent)
-	path, body, want := "/services/entries/waivers", c.text(), ""
+	path, body, want := "/services/entries/waivers", c.randomBody(), ""
 	tokens := 0
 	if c.random.IntN(2) == 0 {
 		tokens = 1 + c.random.IntN(ownTokens)
@@ -122,27 +122,27 @@
 	case err != nil || status != http.StatusOK:
 		c.soak.t.Errorf("%s %s at %s: status %d, %d bytes, %v", id, path, r.name, status, len(text), err)
 	case tokens > 0 && strings.Count(text, "data: ") < tokens, !strings.Contains(text, want):
-		c.soak.t.Errorf("%s %s at %s isn't whole: %d bytes", id, path, r.name, len(text))
+		c.soak.t.Errorf("%s %s at %s: the answer isn't complete: %d bytes", id, path, r.name, len(text))
 	default:
 		c.soak.served.Add(1)
 	}
 }
 
-// text returns a body, which comes back in the answer, of a size that is at a buffer's.
-func (c *ownCaller) text() string {
+// randomBody returns a body, echoed in the answer, whose size is close to a buffer's.
+func (c *ownCaller) randomBody() string {
 	size := c.soak.sizes[c.random.IntN(len(c.soak.sizes))]
 	text, _ := json.Marshal(strings.Repeat("x", size))
 	return string(text)
 }
 
-// errLeft is the error of an answer that its caller left.
-var errAborted = errors.New("the caller left")
+// errAborted is the error of a request that its caller aborted.
+var errAborted = errors.New("aborted by the caller")
 
-// ask sends a request and reads its answer, at once or slowly, or leaves within it.
+// call sends a request and reads its answer, at full speed or slowly, or aborts it while reading.
 func (c *ownCaller) call(r *router, path, id, body string, aborts bool) (int, string, error) {
 	var from io.Reader = strings.NewReader(body)
 	if c.random.IntN(3) == 0 {
-		from = io.MultiReader(from) // of a length that isn't known: in chunks
+		from = io.MultiReader(from) // without a known length: chunked
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.callers+path, from)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return resp.StatusCode, text, err
 }
 
-// readSlowly reads to the end, with a pause after each part.
+// readSlowly reads everything, with a pause after each part.
 func readSlowly(from io.Reader, pause time.Duration) (string, error) {
 	var out strings.Builder
 	part := make([]byte, 16<<10)
--- a/e2e/pause_test.go
+++ b/e2e/pause_test.go
@@ -8,16 +8,15 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// TestPlatformPausedRouterServes pauses a router for longer than any of its
-// timers. Once it runs again it can keep up, so it must not refuse what it could
-// serve for having been late once.
+// TestPlatformPausedRouterServes guards against refusals after a pause: a router is paused for longer than any of its
+// timers, and a single delay must not make it shed load that it can serve.
 func TestPlatformPausedRouterServes(t *testing.T) {
 	p := newPlatform(t, 1)
 	r := p.routers[0]
 	p.is.NoErr(r.cmd.Process.Signal(syscall.SIGSTOP))
 	time.Sleep(2 * time.Second)
 	p.is.NoErr(r.cmd.Process.Signal(syscall.SIGCONT))
-	await(t, "it answers again", func() bool { return isReady(r) })
+	await(t, "the router is ready again", func() bool { return isReady(r) })
 	for range 5 {
 		p.is.Equal(callStatus(p, r), 200)
 	}
@@ -27,8 +26,8 @@
 	return users.Call(r.callers, p.request("GET", "/look/1")).Status
 }
 
-// TestPlatformUnreadRequestsOfCallersThatLeftAreNotSent stops a router while callers send
-// requests and leave, as its requests weren't read: nothing may work for them afterwards.
+// TestPlatformUnreadRequestsOfCallersThatLeftAreNotSent guards against work for callers that have left: they send requests
+// to a paused router and disconnect before it has read them. No backend server may run these requests afterwards.
 func TestPlatformUnreadRequestsOfCallersThatLeftAreNotSent(t *testing.T) {
 	p := newPlatform(t, 1)
 	r := p.routers[0]
@@ -46,16 +45,16 @@
 	}
 	time.Sleep(600 * time.Millisecond)
 	p.is.NoErr(r.cmd.Process.Signal(syscall.SIGCONT))
-	await(t, "it serves again", func() bool { return callStatus(p, r) == 200 })
+	await(t, "the router serves again", func() bool { return callStatus(p, r) == 200 })
 	for _, id := range left {
 		p.is.Equal(len(p.runsOf(id)), 0)
 	}
 }
 
-// TestPlatformRequestsArentSentAgainForCallersThatLeft stops a router while backend servers work on
-// requests that may be repeated. Their callers leave, and the servers fail, before it goes on: both
-// are there to be read at once, and nothing may be sent for callers that have left. The servers fail when they are
-// told to: by a clock, on a busy machine, they failed before all requests had come, and got the last ones no more.
+// TestPlatformRequestsAreNotRetriedForCallersThatLeft guards against retries for callers that have left: a router is
+// paused while backend servers work on requests that may be repeated, the callers disconnect and the servers fail, and the
+// router reads both events at once when it resumes. The test triggers the failures: with a fixed delay, on a busy machine,
+// servers failed before all requests had arrived, and didn't get the last ones.
 func TestPlatformRequestsAreNotRetriedForCallersThatLeft(t *testing.T) {
 	p := newPlatform(t, 1)
 	r := p.routers[0]
@@ -70,7 +69,7 @@
 		p.is.NoErr(c.Send(req))
 		callers, sent = append(callers, c), append(sent, req.ID)
 	}
-	await(t, "all are sent", func() bool {
+	await(t, "all requests are sent", func() bool {
 		for _, id := range sent {
 			if len(p.runsOf(id)) == 0 {
 				return false
@@ -86,7 +85,7 @@
 	time.Sleep(time.Second)
 	p.is.NoErr(r.cmd.Process.Signal(syscall.SIGCONT))
 	p.behave(p.services, users.Behaviour{})
-	await(t, "it serves again", func() bool { return callStatus(p, r) == 200 })
+	await(t, "the router serves again", func() bool { return callStatus(p, r) == 200 })
 	for _, id := range sent {
 		p.is.Equal(len(p.runsOf(id)), 1)
 	}
--- a/e2e/platform_harness_test.go
+++ b/e2e/platform_harness_test.go
@@ -14,7 +14,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// world is a fleet on the users' platform.
+// platform is a fleet of routers with the platform interface, and the stand-ins for the store and the backend servers.
 type platform struct {
 	t            testing.TB
 	is           *is.I
@@ -22,12 +22,12 @@
 	engines      []*users.Backend
 	services     []*users.Backend
 	routers      []*router
-	storeProxies []*users.Door // of each router, to the store
+	storeProxies []*users.Door // between each router and the store
 	version      int
 	accounts     map[string]string
-	idle         time.Duration // that the configuration lets connections rest
+	idle         time.Duration // idle limit of connections in the configuration
 	last         atomic.Int64  // number of the last request
-	flags        []string      // of the routers, beside the usual ones
+	flags        []string      // of the routers, in addition to the usual ones
 }
 
 const callerKey = "key-of-a-caller"
@@ -41,8 +41,8 @@
 	{Name: "short", Path: "/look/short/", Kind: "safe", Pool: "entries", Attempts: 1, Timeout: time.Second},
 }
 
-// newWorld starts a store, two engines, two plain services and routers, each at
-// an IP of its own, with flags beside the usual ones.
+// newPlatform starts a store, two engines, two plain services and a number of routers, with flags in addition to the
+// usual ones, and waits until the routers are ready.
 func newPlatform(t testing.TB, routers int, flags ...string) *platform {
 	t.Helper()
 	p := &platform{t: t, is: is.New(t), store: users.NewStore(), accounts: map[string]string{callerKey: "league"}, flags: flags, idle: users.DefaultIdle}
@@ -109,19 +109,19 @@
 	await(p.t, r.name+" is ready", func() bool { return isReady(r) })
 }
 
-// await waits for what must come.
+// await polls until a condition holds, and fails the test after maxWait.
 func await(t testing.TB, what string, happened func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(maxWait)
 	for !happened() {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// request returns a new request of a path.
+// request returns a new request with an id of its own.
 func (p *platform) request(method, path string) users.Request {
 	return users.Request{Method: method, Path: path, Key: callerKey, ID: fmt.Sprintf("request-%d", p.last.Add(1)), Body: "the body"}
 }
@@ -145,7 +145,7 @@
 	return out
 }
 
-// whole returns a whole stream of events.
+// completeStream returns the body of a complete stream with a number of events.
 func completeStream(events int) string {
 	var out strings.Builder
 	for n := 1; n <= events; n++ {
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -27,7 +27,7 @@
 	run := p.runsOf(stream.ID)[0]
 	is.Equal(run.Path, "/chat/7?x=1")
 	is.Equal(run.Body, "the body")
-	is.Equal(run.Account, "league") // not the forged one
+	is.Equal(run.Account, "league") // not the forged account
 	is.Equal(run.Key, "")
 	is.True(run.TimeLeft > 0 && run.TimeLeft <= 10000)
 
@@ -63,7 +63,7 @@
 	p.behave(p.services, users.Behaviour{Nameless: true})
 	is.Equal(users.Call(to, p.request("POST", "/claim/3")).Status, 502)
 
-	p.behave(p.services, users.Behaviour{Status: 503}) // a status that would say: not run
+	p.behave(p.services, users.Behaviour{Status: 503}) // from a router this status means: not run
 	is.Equal(users.Call(to, p.request("POST", "/claim/4")).Status, 502)
 
 	p.behave(p.engines, users.Behaviour{Events: 5, CutAfter: 3, CutInside: true})
@@ -90,11 +90,11 @@
 	to := p.routers[0].callers
 	p.behave(p.services, users.Behaviour{Drop: true})
 	once := p.request("POST", "/claim/1")
-	is.Equal(users.Call(to, once).Status, 502) // never 503: it has run
+	is.Equal(users.Call(to, once).Status, 502) // not 503, as it has run
 	is.Equal(len(p.runsOf(once.ID)), 1)
 	again := p.request("GET", "/look/1")
 	is.Equal(users.Call(to, again).Status, 502)
-	is.Equal(len(p.runsOf(again.ID)), 2) // as often as its route allows
+	is.Equal(len(p.runsOf(again.ID)), 2) // as many attempts as its route allows
 
 	p.behave(p.services, users.Behaviour{Reject: true})
 	refused := p.request("POST", "/claim/2")
@@ -104,7 +104,7 @@
 	is.Equal(len(p.runsOf(refused.ID)), 0)
 
 	p.services[0].Behave(users.Behaviour{})
-	await(t, "a request that may go elsewhere is served", func() bool {
+	await(t, "a request that may be retried is served", func() bool {
 		return users.Call(to, p.request("GET", "/look/2")).Status == 200
 	})
 }
@@ -122,8 +122,8 @@
 	got := c.Read()
 	runs := p.runsOf(r.ID)
 	p.is.Equal(len(runs), 2)
-	p.is.Equal(runs[0].LastEvent+runs[1].LastEvent, "3") // the second goes on after the third event
-	p.is.True(got.Err != nil)                            // and breaks off as well: cut after event 3 of its own
+	p.is.Equal(runs[0].LastEvent+runs[1].LastEvent, "3") // the second run continues after the third event
+	p.is.True(got.Err != nil)                            // it breaks off as well, after three events of its own
 	p.is.True(strings.HasPrefix(completeStream(6), got.Body))
 }
 
@@ -165,11 +165,11 @@
 	p.is.NoErr(c.Send(r))
 	await(t, "the run", func() bool { return len(p.runsOf(r.ID)) == 1 })
 	c.Close()
-	await(t, "the backend server is told", func() bool { return p.runsOf(r.ID)[0].Left })
+	await(t, "the backend server notices the cancellation", func() bool { return p.runsOf(r.ID)[0].Left })
 }
 
-// TestPlatformSilentServerIsLeft lets one of two backend servers fall silent: a
-// request that may be repeated is answered by the other, in good time.
+// TestPlatformSilentServerIsReplaced guards against requests that wait for an unresponsive backend server until their time
+// limit: one of two servers doesn't answer, and a request that may be repeated is answered by the other in time.
 func TestPlatformSilentServerIsReplaced(t *testing.T) {
 	p := newPlatform(t, 1)
 	p.services[0].Behave(users.Behaviour{Gap: time.Minute})
@@ -178,7 +178,7 @@
 		began := time.Now()
 		got := users.Call(p.routers[0].callers, r)
 		p.is.Equal(got.Status, 200)
-		p.is.True(time.Since(began) < 10*time.Second) // the caller's own time
+		p.is.True(time.Since(began) < 10*time.Second) // the caller's time limit
 	}
 }
 
@@ -188,7 +188,7 @@
 	began := time.Now()
 	got := users.Call(p.routers[0].callers, p.request("GET", "/look/short/1"))
 	p.is.Equal(got.Status, 504)
-	p.is.True(time.Since(began) >= time.Second) // its route's timeout, not sooner
+	p.is.True(time.Since(began) >= time.Second) // not before its route's timeout
 	var calls sync.WaitGroup
 	statuses := make([]int, 200)
 	for i := range statuses {
@@ -197,30 +197,29 @@
 	}
 	calls.Wait()
 	for _, status := range statuses {
-		p.is.True(status == 504 || status == 503) // never 502: nothing broke off
+		p.is.True(status == 504 || status == 503) // not 502, as nothing broke off
 	}
 }
 
-// TestPlatformShunnedRouterFollows turns one router away from the store. What the
-// operators change and which backend servers leave still reach it, through the
-// other routers.
+// TestPlatformRouterWithoutStoreFollows guards against an outdated router: one that can't reach the store must receive
+// changes of the configuration and of backend servers through the other routers.
 func TestPlatformRouterWithoutStoreFollows(t *testing.T) {
 	p := newPlatform(t, 3)
 	is := p.is
 	await(t, "all routers are listed", func() bool { return len(p.store.Keys("tamarindstep/routers/")) == 3 })
-	time.Sleep(2 * time.Second) // until they have found each other
+	time.Sleep(2 * time.Second) // until the routers have discovered each other
 	p.storeProxies[0].Shut()
 	to := p.routers[0].callers
 
 	p.accounts = map[string]string{"another-key": "utility"}
 	p.configure()
-	await(t, "the key taken away is unknown", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 401 })
+	await(t, "the removed key is unknown", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 401 })
 	next := p.request("GET", "/look/2")
 	next.Key = "another-key"
 	is.Equal(users.Call(to, next).Status, 200)
 
 	p.services[0].Announce("draining")
-	await(t, "the leaving backend server gets nothing", func() bool {
+	await(t, "the draining backend server gets nothing", func() bool {
 		before := len(p.services[0].Runs())
 		for range 10 {
 			r := p.request("GET", "/look/3")
@@ -231,8 +230,8 @@
 	})
 }
 
-// TestPlatformForgottenHistory changes everything while watches see nothing, and
-// then forgets the history.
+// TestPlatformCompactedHistory guards against changes that are missed because watches got no events and the store then
+// compacted its history.
 func TestPlatformCompactedHistory(t *testing.T) {
 	p := newPlatform(t, 1)
 	to := p.routers[0].callers
@@ -246,7 +245,7 @@
 		r.Key = "another-key"
 		return users.Call(to, r).Status == 200
 	})
-	await(t, "the backend server that is gone gets nothing", func() bool {
+	await(t, "the removed backend server gets nothing", func() bool {
 		before := len(p.services[0].Runs())
 		for range 10 {
 			r := p.request("GET", "/look/2")
@@ -257,18 +256,18 @@
 	})
 }
 
-// TestPlatformBadConfigurationChangesNothing puts bytes into the store that are
-// no configuration.
+// TestPlatformBadConfigurationChangesNothing guards against bytes in the store that can't be decoded as a configuration:
+// the previous one stays in force, and the next valid one is applied.
 func TestPlatformBadConfigurationChangesNothing(t *testing.T) {
 	p := newPlatform(t, 1)
 	to := p.routers[0].callers
 	p.store.Put(users.ConfigurationKey, []byte("{ no configuration"))
-	p.store.Remove("servers/" + p.services[0].Name) // seen after it
+	p.store.Remove("servers/" + p.services[0].Name) // is seen after the configuration
 	time.Sleep(time.Second)
 	p.is.Equal(users.Call(to, p.request("GET", "/look/1")).Status, 200)
 	p.accounts = map[string]string{"another-key": "utility"}
 	p.configure()
-	await(t, "the next one is in force", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 401 })
+	await(t, "the next configuration is in force", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 401 })
 }
 
 func TestPlatformPlannedStop(t *testing.T) {
@@ -285,28 +284,27 @@
 	await(t, "the run", func() bool {
 		select {
 		case early := <-answer:
-			t.Fatalf("answered without a run: %+v", early)
+			t.Fatalf("answer without a run: %+v", early)
 		default:
 		}
 		return len(p.runsOf(r.ID)) == 1
 	})
 	is.NoErr(p.routers[0].cmd.Process.Signal(syscall.SIGHUP))
 	is.NoErr(p.routers[0].cmd.Process.Signal(syscall.SIGTERM))
-	await(t, "it isn't ready any more", func() bool { return !isReady(p.routers[0]) })
+	await(t, "the router is no longer ready", func() bool { return !isReady(p.routers[0]) })
 	late := users.Call(p.routers[0].callers, p.request("GET", "/look/1"))
-	is.Equal(late.Status, 200) // callers still come for a while
+	is.Equal(late.Status, 200) // a draining router still serves new requests for a while
 	is.True(late.Close)
 	got := <-answer
 	is.NoErr(got.Err)
 	is.Equal(got.Body, completeStream(300))
 	is.NoErr(<-p.routers[0].exited)
-	is.Equal(len(p.store.Keys("tamarindstep/routers/")), 1) // it has left the list
+	is.Equal(len(p.store.Keys("tamarindstep/routers/")), 1) // it has removed its entry
 }
 
-// TestPlatformPeerKeySurvivesLostAnswers loses the answers to the swap that makes
-// the peer key and to the write that lists the first router, and then turns that
-// router away from the store before it has seen the list: the routers must agree
-// on the key all the same, and the other one find it.
+// TestPlatformPeerKeySurvivesLostAnswers guards against routers with different peer keys. The answers to the swap that
+// creates the key and to the write of the first router's entry are lost, and that router is then cut off from the store
+// before it has read the list of routers: both must still use one key, and the other router must find the first.
 func TestPlatformPeerKeySurvivesLostAnswers(t *testing.T) {
 	p := newPlatform(t, 0)
 	p.store.LoseAnswers(2)
@@ -318,32 +316,32 @@
 	time.Sleep(2 * time.Second)
 	p.accounts = map[string]string{"another-key": "utility"}
 	p.configure()
-	await(t, "one router tells the other", func() bool {
+	await(t, "the router without the store gets the configuration from the other", func() bool {
 		return users.Call(p.routers[0].callers, p.request("GET", "/look/1")).Status == 401
 	})
 }
 
-// TestPlatformBurstsTakeFewCalls lets many backend servers announce themselves one
-// after the other: the routers that watch must not call the store for each.
+// TestPlatformAnnouncementBurstsTakeFewStoreCalls guards against a store call for each change: many backend servers
+// announce themselves in short succession, and the routers that watch the store must receive several with one call.
 func TestPlatformAnnouncementBurstsTakeFewStoreCalls(t *testing.T) {
 	const burst = 30
 	p := newPlatform(t, 3)
-	time.Sleep(3 * time.Second) // until they have found each other
+	time.Sleep(3 * time.Second) // until the routers have discovered each other
 	before := p.store.Watches()
 	for i := range burst {
 		p.services = append(p.services, p.backend(fmt.Sprintf("service-more-%d", i), "entries"))
 		time.Sleep(5 * time.Millisecond)
 	}
 	last := p.services[len(p.services)-1]
-	await(t, "the last one is known", func() bool {
+	await(t, "the last server is used", func() bool {
 		_ = users.Call(p.routers[0].callers, p.request("GET", "/look/1"))
 		return len(last.Runs()) > 0
 	})
 	p.is.True(p.store.Watches()-before < burst*4/3) // two routers watch
 }
 
-// TestPlatformStaleStartFollows starts a router while the store's stale reads are old: it
-// must take the newer configuration, and the end of a backend server, from the others.
+// TestPlatformStaleReadsAtStart guards against a router that starts with outdated reads of the store: it must receive the
+// newer configuration, and the state of a draining backend server, from the other routers.
 func TestPlatformStaleReadsAtStart(t *testing.T) {
 	p := newPlatform(t, 2)
 	p.store.HoldStaleReads()
@@ -358,7 +356,7 @@
 	})
 	late := p.start(2)
 	p.awaitReady(late)
-	await(t, "it is in force at the router that started", func() bool {
+	await(t, "the change is in force at the new router", func() bool {
 		return users.Call(late.callers, p.request("GET", "/new/1")).Status == 200
 	})
 	before := len(p.services[0].Runs())
--- a/e2e/port_test.go
+++ b/e2e/port_test.go
@@ -11,25 +11,24 @@
 )
 
 const (
-	// firstPort is from where on routers are given ports, and firstOfSystem from where on the system gives them: a router's
-	// socket for sending is bound to all addresses at one of those.
+	// firstPort is the first port assigned to routers. firstEphemeralPort is the first port that the system assigns: the
+	// socket that a router sends from is bound to such a port, at all addresses.
 	firstPort          = 10000
 	firstEphemeralPort = 32768
 )
 
-// givenPorts is how many ports freePort has looked at.
+// assignedPorts is the number of ports that freePort has tried.
 var assignedPorts atomic.Int64
 
-// freePort returns an address whose port is free. Its IP is this process's own: a
-// port of 127.0.0.1 may be taken, before the router listens, by any connection of
-// the machine or by the tests of another process. No port is given twice.
+// freePort returns an address whose port is free. The IP is specific to this process: a port of 127.0.0.1 may be taken by
+// any connection of the machine, or by the tests of another process, before the router listens. No port is returned twice.
 func freePort(t testing.TB) string {
 	t.Helper()
 	pid := os.Getpid()
 	for {
 		port := firstPort + assignedPorts.Add(1)
 		if port >= firstEphemeralPort {
-			t.Fatal("no free port is left")
+			t.Fatal("no free ports")
 		}
 		address := fmt.Sprintf("127.%d.%d.%d:%d", 1+(pid>>16)&0x7f, (pid>>8)&0xff, pid&0xff, port)
 		if isFree(address) {
@@ -38,7 +37,7 @@
 	}
 }
 
-// isFree tells whether an address can be listened at, by both protocols.
+// isFree reports whether it is possible to listen at an address with both TCP and UDP.
 func isFree(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,8 +52,8 @@
 	return true
 }
 
-// TestFreePortsAreGivenOnce asks for so many ports that the system, which offers a
-// port again once it is closed, would repeat itself.
+// TestFreePortsAreUnique guards against ports that are returned twice: it requests more ports than the system would assign
+// without reusing closed ones.
 func TestFreePortsAreUnique(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]bool{}
--- a/e2e/processor_test.go
+++ b/e2e/processor_test.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// streamEvents and streamGap are those of a middling stream, and streamBody
-	// the size of its request in bytes.
+	// streamEvents and streamGap are the number and spacing of events of an average stream, and streamBody is the size of
+	// its request in bytes.
 	streamEvents = 24
 	streamGap    = 40 * time.Millisecond
 	streamBody   = 9000
-	// streamCallers is how many callers ask at once.
+	// streamCallers is the number of concurrent callers.
 	streamCallers = 100
-	// moreEngines is how many engines beside the usual ones have slots for all.
+	// extraEngines is the number of engines in addition to the usual ones, so that there are slots for all callers.
 	extraEngines = 30
-	// plainCallers is how many callers ask for plain answers, and quietFor how long a router has started by then.
+	// plainCallers is the number of concurrent callers for plain answers, and startupTime the time in which a router's
+	// start is completed.
 	plainCallers = 8
 	startupTime  = time.Second
-	// ticksPerSecond is the unit of the times in /proc.
+	// ticksPerSecond is the number of clock ticks per second, the unit of times in /proc.
 	ticksPerSecond = 100
 )
 
-// BenchmarkPlatformProcessor measures the processor time that a router spends on
-// a streamed request, its part of the fleet's talk included.
+// BenchmarkPlatformProcessor measures the processor time that a router spends on a streamed request, including the traffic
+// between routers.
 func BenchmarkPlatformProcessor(b *testing.B) {
 	p := newPlatform(b, 1)
 	for i := range extraEngines {
@@ -45,8 +46,8 @@
 	b.ReportMetric(float64(served)/float64(b.N), "served/req")
 }
 
-// BenchmarkPlatformRefusal measures the processor time that a router spends on a
-// request that it reads and refuses, each on a new connection.
+// BenchmarkPlatformRefusal measures the processor time that a router spends on a request that it reads and refuses, each on
+// a new connection.
 func BenchmarkPlatformRefusal(b *testing.B) {
 	p := newPlatform(b, 1)
 	before := processorTime(b, p.routers[0])
@@ -55,8 +56,8 @@
 	b.ReportMetric(float64(spent.Microseconds())/float64(b.N), "us-processor/req")
 }
 
-// BenchmarkPlatformPlain measures what a router spends on a plain request of a connection that is kept: processor time,
-// and calls of the system that read and write.
+// BenchmarkPlatformPlain measures the processor time and the read and write system calls of a router for a plain request
+// on a connection that is kept.
 func BenchmarkPlatformPlain(b *testing.B) {
 	for _, size := range []int{16, 6000, 200_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) { benchmarkPlain(b, size) })
@@ -93,7 +94,7 @@
 	b.ReportMetric(float64(served.Load())/float64(b.N), "served/req")
 }
 
-// ioCalls returns how many calls of a router's process have read or written.
+// ioCalls returns the number of read and write system calls of a router's process.
 func ioCalls(b *testing.B, r *router) int {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", r.cmd.Process.Pid))
@@ -115,8 +116,7 @@
 	return sum
 }
 
-// callMany makes so many requests of a path, each on a new connection, and returns
-// how many were served.
+// callMany sends a number of requests for a path, each on a new connection, and returns how many were served.
 func callMany(p *platform, path string, requests int) int64 {
 	var callers sync.WaitGroup
 	var last, served atomic.Int64
@@ -137,7 +137,7 @@
 	return served.Load()
 }
 
-// processorTime returns the time that a router's process has had of processors.
+// processorTime returns the processor time that a router's process has used.
 func processorTime(b *testing.B, r *router) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// counterOf reads a router's counter.
+// counterOf returns the value of a router's metric, "" if it can't be read.
 func counterOf(r *router, name string) string {
 	resp, err := http.Get("http://" + r.admin + "/metrics")
 	if err != nil {
@@ -22,9 +22,9 @@
 	return value
 }
 
-// TestPlatformServersThatStartAgainUnderTheirNames lets both plain services start again where they were, first both at once and
-// then one twice in a row, under a clock that was set back: each router takes each of them for a new run once, and sends
-// to it.
+// TestPlatformServersRestartUnderTheirNames guards against restarts that aren't detected or are counted twice: plain
+// services restart at the same address, first both at once and then one twice in a row with its clock set back. Each
+// router counts each restart once, and uses the new process.
 func TestPlatformServersRestartUnderTheirNames(t *testing.T) {
 	p := newPlatform(t, 2)
 	restart := func(b *users.Backend, born int64) *users.Backend {
@@ -35,12 +35,12 @@
 	}
 	counted := func(restarts string) {
 		for _, r := range p.routers {
-			await(t, r.name+" has heard of the restart", func() bool { return counterOf(r, "tamarindstep_backend_server_restarts_total") == restarts })
+			await(t, r.name+" has counted the restarts", func() bool { return counterOf(r, "tamarindstep_backend_server_restarts_total") == restarts })
 		}
 	}
 	used := func(b *users.Backend) {
 		for _, r := range p.routers {
-			await(t, "the new run is used by "+r.name, func() bool {
+			await(t, "the restarted server is used by "+r.name, func() bool {
 				before := len(b.Runs())
 				p.is.Equal(users.Call(r.callers, p.request("POST", "/claim/1")).Status, 200)
 				return len(b.Runs()) > before
--- a/e2e/restore_test.go
+++ b/e2e/restore_test.go
@@ -9,21 +9,16 @@
 	"time"
 )
 
-// What was seen, in trials with the real programs: after the store had come back from a copy some seconds old, with its
-// revisions given out again, servers that announced that they drain got 94 of some 180 requests, and a router that
-// started was alone for fifteen seconds.
-//
-// How it came about: the store's revisions went back, and the copy was older than the key that all routers share.
-//
-// Cause: a revision was taken for a moment in the life of the store, and whatever was of a lower one for older: there was
-// no word for the store's having another life. The key was made once and then only read.
-//
-// Proof: the tests below, in which the store does that while three routers watch it.
+// The tests in this file guard against routers that don't handle a restore of the store to an earlier revision, after which
+// it assigns revisions again that it had assigned before. A router that considers any lower revision older ignores the
+// changes after a restore: servers that announced that they drain got 94 of some 180 requests. If the copy is older than
+// the peer key, and routers only read the key after creating it once, a new router can't join the others: one was alone for
+// fifteen seconds. In the tests the store is restored while three routers watch it.
 
-// returnedFor is how long after a return it is looked at what goes where.
+// observationTime is how long the routers are observed after a restore.
 const observationTime = 3 * time.Second
 
-// write lets some of the store's revisions pass.
+// addRevisions makes a number of changes to an unrelated key of the store.
 func (p *platform) addRevisions(changes int) {
 	for i := range changes {
 		p.store.Put("others/key", []byte(fmt.Sprint(i)))
@@ -35,7 +30,7 @@
 	revision := p.store.Revision()
 	p.addRevisions(60)
 	pool[0].Announce("draining")
-	time.Sleep(maxLeaveDelay) // until all have seen it
+	time.Sleep(maxLeaveDelay) // until all routers have received it
 	p.store.Restore(revision)
 	restored := time.Now()
 	for _, b := range pool[1:] {
@@ -47,17 +42,17 @@
 	drained := time.Now()
 	got := statuses(answers())
 	late := pool[1].Arrivals(drained.Add(maxLeaveDelay), time.Now())
-	t.Logf("callers got, by status: %v; %d requests reached a server two seconds and more after it had announced that it drains", got, late)
+	t.Logf("callers got, by status: %v; %d requests reached a draining server more than two seconds after its announcement", got, late)
 	if late > 0 {
-		t.Errorf("%d requests reached a server that drains", late)
+		t.Errorf("%d requests reached a draining server", late)
 	}
 	if n := pool[0].Arrivals(restored, restored.Add(observationTime)); n > 0 {
-		t.Errorf("%d requests reached a server that had announced that it drains before the return", n)
+		t.Errorf("%d requests reached a server that had announced before the restore that it drains", n)
 	}
 	p.is.Equal(len(got), 1)
 }
 
-// members returns how many routers a router takes for live, itself included.
+// memberCount returns how many routers a router considers live, itself included; "" if it can't be read.
 func (r *router) memberCount() string {
 	resp, err := http.Get("http://" + r.admin + "/metrics")
 	if err != nil {
@@ -72,10 +67,10 @@
 	return ""
 }
 
-// peerKey is where the platform keeps the key that all routers share.
+// peerKey is the store's key of the peer key, which all routers share.
 const peerKey = "tamarindstep/peer-key"
 
-// areMembers tells whether each router takes so many for live.
+// allReportMembers reports whether each router considers n routers live.
 func (p *platform) allReportMembers(n string) bool {
 	for _, r := range p.routers {
 		if r.memberCount() != n {
@@ -85,7 +80,7 @@
 	return true
 }
 
-// announceAll lets the usual backend servers write their entries again.
+// announceAll makes the usual backend servers write their entries again.
 func (p *platform) announceAll() {
 	for _, b := range append(p.engines, p.services...) {
 		b.Announce("ready")
@@ -94,11 +89,11 @@
 
 func TestPlatformRoutersFormOneFleetAfterStoreRestore(t *testing.T) {
 	for _, c := range []struct{ name, other string }{
-		{"the key is gone", ""}, {"another key is there", "ANOTHERKEYTHATAROUTERMADE"},
+		{"the key is missing", ""}, {"another key is stored", "ANOTHERKEYTHATAROUTERMADE"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPlatform(t, 3)
-			await(t, "three routers are one fleet", func() bool { return p.allReportMembers("3") })
+			await(t, "each router counts three members", func() bool { return p.allReportMembers("3") })
 			time.Sleep(2 * time.Second) // until they watch the store
 			p.store.Restore(p.store.RevisionOf(peerKey) - 1)
 			p.announceAll()
@@ -107,22 +102,23 @@
 			}
 			p.routers = append(p.routers, p.start(3))
 			p.awaitReady(p.routers[3])
-			await(t, "four routers are one fleet", func() bool { return p.allReportMembers("4") })
+			await(t, "each router counts four members", func() bool { return p.allReportMembers("4") })
 			await(t, "all four are listed", func() bool { return len(p.store.Keys("tamarindstep/routers/")) == 4 })
 		})
 	}
 }
 
 func TestPlatformEvacuationsSurviveStoreRestore(t *testing.T) {
-	t.Run("evacuated since the copy", func(t *testing.T) {
+	t.Run("evacuated after the copy", func(t *testing.T) {
 		testEvacuationAfterRestore(t, true, func(p *platform) { p.store.Evacuate(hallA, "{}") }, func(p *platform) { p.store.TakeBack(hallA) })
 	})
-	t.Run("taken back since the copy", func(t *testing.T) {
+	t.Run("taken back after the copy", func(t *testing.T) {
 		testEvacuationAfterRestore(t, false, func(p *platform) { p.store.TakeBack(hallA) }, func(p *platform) { p.store.Evacuate(hallA, "{}") })
 	})
 }
 
-// evacuationOutlivesAReturn makes a change of the evacuations, lets the store come back without it, and undoes it later.
+// testEvacuationAfterRestore changes the evacuations, restores the store to a revision before the change, checks that the
+// change stays in force, and undoes it.
 func testEvacuationAfterRestore(t *testing.T, evacuated bool, change, undo func(*platform)) {
 	p := newPlatform(t, 3)
 	p.addSecondHall()
@@ -140,17 +136,17 @@
 	for end := time.Now().Add(observationTime); time.Now().Before(end); {
 		for _, r := range p.routers {
 			if !isInForce(r) {
-				t.Fatalf("%s goes back to what the copy says", r.name)
+				t.Fatalf("%s reverts to the evacuations of the copy", r.name)
 			}
 		}
 	}
-	change(p) // the operators write it again
+	change(p) // as operators do after a restore
 	time.Sleep(observationTime)
 	for _, r := range p.routers {
 		p.is.True(isInForce(r))
 	}
 	undo(p)
 	for _, r := range p.routers {
-		await(t, "a change after the return is in force at "+r.name, func() bool { return !isInForce(r) })
+		await(t, "a change after the restore is in force at "+r.name, func() bool { return !isInForce(r) })
 	}
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// The soak runs for a few seconds in CI with a fixed seed; by hand with others:
+// The soak tests run for a few seconds with a fixed seed in CI, and with other seeds by hand:
 //
 //	go test ./e2e -run TestSoak -soak.seed 7 -soak.seeds 50 -soak.seconds 20
 var (
@@ -22,19 +22,20 @@
 	soakSeconds = flag.Int("soak.seconds", 6, "how long each is run")
 )
 
-// soak is a fleet under faults that are drawn, with what its callers saw.
+// soak is a fleet under random faults, with the results of its callers.
 type soak struct {
 	*platform
 	random    *rand.Rand
 	paused    map[int]bool
-	lastSpare int // number of the next backend server
-	// returns lets the store come back from copies as well, no older than the floor, and backend servers speak of themselves.
+	lastSpare int // number of the last backend server that replaced another
+	// restores adds restores of the store to earlier revisions, from oldestRevision on, and backend servers that announce
+	// in their answers that they leave or need rest.
 	restores       bool
 	oldestRevision int64
-	// bursts lets crowds of one account come to one router at the same moment.
+	// bursts adds bursts: many callers of one account that send to one router at the same moment.
 	bursts bool
 
-	lastBurst  int // number of the last crowd
+	lastBurst  int // number of the last burst
 	burstCalls sync.WaitGroup
 
 	faultLog faultLog
@@ -44,24 +45,23 @@
 	results []result
 }
 
-// result is a request with what its caller got for it.
+// result is a request and its answer.
 type result struct {
 	request users.Request
 	answer  users.Answer
 
-	// Of a request on a connection that lives:
+	// Set for requests on persistent connections only:
 	router       *router
 	began, ended time.Time
-	aborted      bool // by its caller
+	aborted      bool // by the caller
 }
 
-const burstSize = 60 // callers that come at the same moment
+const burstSize = 60 // callers that send at the same moment
 
-// TestSoak lets faults come from outside, in series and one over another, and
-// checks from what callers and backend servers saw that a request which may not be
-// repeated runs at most once, that none is refused as not run and run, that a
-// success is whole and the caller's own, that each connection that broke off has a cause
-// among the faults, and that nothing is left once the callers have gone.
+// TestSoak injects random faults, in sequence and overlapping, and checks the results of callers against the runs of
+// backend servers: a request that may not be repeated runs at most once, a request refused as not run hasn't run, a
+// successful answer is complete and belongs to its request, each broken connection is explained by a fault, and no
+// connection or goroutine remains after the last caller.
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestSoakBursts draws more: crowds of callers of one account that come to one router at the same moment, with requests
-// of many sizes, while faults come and go.
+// TestSoakBursts adds bursts: many callers of one account send requests of various sizes to one router at the same
+// moment, during other faults.
 func TestSoakBursts(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
@@ -78,8 +78,9 @@
 	}
 }
 
-// TestSoakReturns draws more: a store that comes back from copies of some seconds ago, in series and while it is out, while
-// routers start and are paused, and backend servers that leave or want rest by their own word. In the end the routers are one fleet.
+// TestSoakReturns adds restores of the store from copies a few seconds old, repeatedly and during outages, while routers
+// start and are paused, and backend servers that announce in their answers that they leave or need rest. In the end all
+// routers must be members of one fleet.
 func TestSoakReturns(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
@@ -111,7 +112,7 @@
 		time.Sleep(time.Duration(50+s.random.IntN(400)) * time.Millisecond)
 		s.fault()
 	}
-	s.clearFaults() // first, as callers of a paused router wait for it
+	s.clearFaults() // before waiting, as callers wait for paused routers
 	callers.Wait()
 	s.burstCalls.Wait()
 	s.checkResults()
@@ -119,13 +120,13 @@
 	s.checkLeftovers(baseline)
 	if s.restores {
 		for _, proxy := range s.storeProxies {
-			proxy.Open() // a router that has started meanwhile waits for the key
+			proxy.Open() // a router started meanwhile waits for the peer key
 		}
-		await(t, "the routers are one fleet", func() bool { return s.allReportMembers("3") })
+		await(t, "each router counts three members", func() bool { return s.allReportMembers("3") })
 	}
 }
 
-// flags returns those of the routers, beside the usual ones: crowds press upon small ones.
+// flags returns the additional flags of the routers. With bursts the routers are small, so that bursts overload them.
 func (s *soak) flags() []string {
 	out := []string{"--caller-stall-seconds", fmt.Sprint(soakStallLimit.Seconds())}
 	if s.bursts {
@@ -134,7 +135,7 @@
 	return out
 }
 
-// fault draws a fault and lets it come.
+// fault injects a random fault.
 func (s *soak) fault() {
 	if s.restores && s.random.IntN(3) == 0 {
 		s.restoreStore()
@@ -177,7 +178,7 @@
 	}
 }
 
-// burst lets a crowd come to a router, some of whom send a large body.
+// burst sends burstSize requests to a router at the same moment, some with a large body.
 func (s *soak) burst(i int) {
 	s.lastBurst++
 	to := s.routers[i].callers
@@ -191,7 +192,7 @@
 	}
 }
 
-// ask sends a request to a router, and keeps what came of it.
+// call sends a request to a router and stores the result.
 func (s *soak) call(to string, r users.Request) {
 	got := users.Call(to, r)
 	s.mu.Lock()
@@ -199,10 +200,11 @@
 	s.results = append(s.results, result{request: r, answer: got})
 }
 
-// comeBack lets the store come back from a copy, and the backend servers write their entries again, all or some of them.
+// restoreStore restores the store to an earlier revision, after which a random part of the backend servers write their
+// entries again.
 func (s *soak) restoreStore() {
 	s.faultLog.recordConfigurationDelay()
-	revision := s.oldestRevision // older than the key that the routers share
+	revision := s.oldestRevision // older than the shared peer key
 	if s.random.IntN(4) > 0 {
 		revision = max(s.store.Revision()-int64(s.random.IntN(60)), s.oldestRevision)
 	}
@@ -219,14 +221,14 @@
 
 func (s *soak) randomHall() string { return []string{hallA, hallB}[s.random.IntN(2)] }
 
-// chill lets one of the engines become cold, or end it.
+// toggleCold makes a random engine announce that it is cold, or no longer cold.
 func (s *soak) toggleCold() {
 	b := s.engines[s.random.IntN(len(s.engines))]
 	b.Cold = time.Duration(s.random.IntN(2)) * 3 * time.Second
 	b.Announce("ready")
 }
 
-// replace ends a router by a signal, waits for its end, and starts it anew.
+// replace ends a router by a signal, waits until it has exited, and starts a new process in its place.
 func (s *soak) replace(i int, signal syscall.Signal) {
 	s.resume(i)
 	old := s.routers[i]
@@ -255,7 +257,7 @@
 	s.paused[i] = false
 }
 
-// misbehave lets one of the backend servers misbehave, or be well again.
+// misbehave gives a random backend server a random behaviour, faulty or normal.
 func (s *soak) misbehave(backends []*users.Backend) {
 	ways := []users.Behaviour{
 		{}, {Drop: true}, {Reject: true}, {Surplus: true}, {Early: true}, {Unframed: true},
@@ -273,7 +275,7 @@
 	backends[s.random.IntN(len(backends))].Behave(x)
 }
 
-// replaceBackend announces that a backend server leaves and starts another.
+// replaceBackend announces that a backend server drains, and starts another one.
 func (s *soak) replaceBackend() {
 	s.lastSpare++
 	old := s.services[s.random.IntN(len(s.services))]
@@ -281,7 +283,7 @@
 	s.services = append(s.services, s.backend(fmt.Sprintf("service-spare-%d", s.lastSpare), "entries"))
 }
 
-// heal ends the faults that last, so that every process can be ended.
+// clearFaults ends the faults that persist: paused routers, the store's outage and evacuations.
 func (s *soak) clearFaults() {
 	for i := range s.routers {
 		s.resume(i)
@@ -291,7 +293,7 @@
 	s.store.TakeBack(hallB)
 }
 
-// check holds what callers got against what backend servers ran.
+// checkResults checks the results of callers against the runs of backend servers.
 func (s *soak) checkResults() {
 	served := 0
 	for _, x := range s.results {
@@ -301,7 +303,7 @@
 			s.t.Errorf("%s %s ran %d times", x.request.ID, x.request.Path, len(runs))
 		}
 		if once && (x.answer.Status == 503 || x.answer.Status == 429) && len(runs) > 0 {
-			s.t.Errorf("%s %s was refused as not run, and ran", x.request.ID, x.request.Path)
+			s.t.Errorf("%s %s was refused as not run, but ran", x.request.ID, x.request.Path)
 		}
 		if x.answer.Status != 200 || x.answer.Err != nil {
 			continue
@@ -316,7 +318,7 @@
 		}
 	}
 	if served == 0 {
-		s.t.Error("nothing was served")
+		s.t.Error("no request was served")
 	}
 	s.t.Logf("%d requests, %d served", len(s.results), served)
 }
--- a/e2e/unconfirmed_test.go
+++ b/e2e/unconfirmed_test.go
@@ -7,17 +7,11 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// What was seen: a small router with the callers of an account that asked for six times its usual answered 404 for a route that
-// had been in force everywhere else for three seconds. It had the change in force eight seconds after it was made.
-//
-// How it came about: so much pressed on its link and its processor that datagrams of other routers were lost, its call of
-// the store wasn't answered in half a second, and a fetch from another router ended after a second with no connection.
-//
-// Cause: a router that hears of nobody who reaches the store can't know what is in force, and spoke as if it did.
-//
-// Proof: its log has the store unreached and the fetch failed before the answer, and the change in force after it; the test below
-// keeps a router from the store in the same way.
-
+// TestPlatformUnconfirmedRoutersDenyNothing guards against a router that answers 404 or 401 by an outdated configuration.
+// A small router overloaded with six times an account's usual requests lost datagrams from other routers, its store call
+// wasn't answered within half a second, and its fetch from another router failed after a second. It answered 404 for a
+// route that had been in force elsewhere for three seconds, and applied the change eight seconds after it was made. While a
+// router can't confirm the configuration, it must answer 503 instead. The test cuts the router off from the store.
 func TestPlatformUnconfirmedRoutersDenyNothing(t *testing.T) {
 	p := newPlatform(t, 1)
 	to := p.routers[0].callers
@@ -36,8 +30,8 @@
 		p.is.Equal(got.Status, 503)
 		p.is.True(got.RetryAfter != "")
 	}
-	p.is.Equal(users.Call(to, p.request("GET", "/look/1")).Status, 200) // it serves on by what it has
+	p.is.Equal(users.Call(to, p.request("GET", "/look/1")).Status, 200) // known routes and keys are still served
 	p.storeProxies[0].Open()
-	await(t, "the newcomer is served", func() bool { return stranger("/look/1").Status == 200 })
-	await(t, "what isn't there is denied", func() bool { return users.Call(to, p.request("GET", "/new/1")).Status == 404 })
+	await(t, "the new key is served", func() bool { return stranger("/look/1").Status == 200 })
+	await(t, "the unknown route is answered with 404", func() bool { return users.Call(to, p.request("GET", "/new/1")).Status == 404 })
 }
--- a/e2e/unread_test.go
+++ b/e2e/unread_test.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// untakenCallers is more than the places at the backend servers.
+	// unreadCallers is more than the slots of the backend servers.
 	unreadCallers = 400
-	// untakenBytes is the size of an answer that the caller's system takes only a part of.
+	// unreadBytes is the size of an answer, larger than the caller's receive buffer.
 	unreadBytes = 200_000
-	// untakenFor is how long it takes nothing.
+	// unreadTime is how long a caller reads nothing.
 	unreadTime = 5 * time.Second
-	// untakenWork is how long a backend server works on a request.
+	// unreadServiceTime is how long a backend server works on a request.
 	unreadServiceTime = 20 * time.Millisecond
-	// untakenMemoryMB is the memory of a small router.
+	// unreadMemoryMB is the memory limit of a small router, in MB.
 	unreadMemoryMB = 112
-	// beside is how many others come meanwhile.
+	// otherCallers is the number of requests by other callers meanwhile.
 	otherCallers = 50
 )
 
-// TestPlatformUntakenAnswersStayWithinMemory guards against a router that holds more than the memory it may use: a few hundred callers
-// read nothing for a while, and each gets its answer whole, or is refused at once. Callers beside them are served.
+// TestPlatformUnreadAnswersStayWithinMemory guards against a router that buffers more than its memory limit: a few hundred
+// callers read nothing for a while, and each gets its whole answer or is refused without being run. Other callers are
+// served meanwhile.
 func TestPlatformUnreadAnswersStayWithinMemory(t *testing.T) {
 	p := newPlatform(t, 1, "--memory-mb", fmt.Sprint(unreadMemoryMB), "--files", "4096")
 	p.behave(p.services, users.Behaviour{Gap: unreadServiceTime})
@@ -63,12 +64,12 @@
 	}
 	callers.Wait()
 	peak := peakMemory(t, p.routers[0])
-	t.Logf("%d of %d refused, %d of %d beside them served, peak of memory %d kB", refused.Load(), unreadCallers, others.Load(), otherCallers, peak)
+	t.Logf("%d of %d refused, %d of %d other callers served, peak memory %d kB", refused.Load(), unreadCallers, others.Load(), otherCallers, peak)
 	p.is.True(peak < unreadMemoryMB<<10)
 	p.is.True(others.Load() >= otherCallers*9/10)
 }
 
-// peakMemory returns the most memory that a router has had, in kB.
+// peakMemory returns a router's peak resident memory, in kB.
 func peakMemory(t *testing.T, r *router) int {
 	t.Helper()
 	is := is.New(t)
