--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -12,8 +12,8 @@
 )
 
 // The tests in this file guard against requests that crash one backend server after another. With nine routers and nine
-// engines, one request crashed 14 engines within a day; ten of its sends came after all routers could know of the third
-// crash. It crashed each engine within a tenth of a second, and its caller repeated it with the same path, account and
+// engines, one request crashed 14 engines within a day; ten of its sends came after all routers should have been notified
+// of the third crash. It crashed each engine within a tenth of a second, and its caller repeated it with the same path, account and
 // body, under another id and at another router; the engines restarted after some seconds under other names. A router
 // that records crashes only by backend server, and shares no record of the request, sends each repetition as a new one.
 
@@ -33,10 +33,10 @@
 
 // restartingPool is a pool of backend servers that restart after they have ended.
 type restartingPool struct {
-	p       *platform
-	behave  users.Behaviour
-	stopped chan struct{}
-	loops   sync.WaitGroup
+	platform  *platform
+	behaviour users.Behaviour
+	stopped   chan struct{}
+	loops     sync.WaitGroup
 
 	mu      sync.Mutex
 	all     []*users.Backend
@@ -44,84 +44,84 @@
 }
 
 // startRestartingPool replaces the plain services by a pool of servers with one behaviour, which restart.
-func (p *platform) startRestartingPool(behave users.Behaviour) *restartingPool {
-	v := &restartingPool{p: p, behave: behave, stopped: make(chan struct{}), current: map[int]*users.Backend{}}
+func (p *platform) startRestartingPool(behaviour users.Behaviour) *restartingPool {
+	pool := &restartingPool{platform: p, behaviour: behaviour, stopped: make(chan struct{}), current: map[int]*users.Backend{}}
 	for _, b := range p.services {
 		p.store.Remove("servers/" + b.Name)
 		b.Close() // else routers that haven't seen its removal are served, and a whole answer clears a request's record
 	}
 	for i := range restartingServers {
-		v.loops.Go(func() { v.runServer(i) })
+		pool.loops.Go(func() { pool.runServer(i) })
 	}
-	p.t.Cleanup(v.stop)
+	p.t.Cleanup(pool.stop)
 	for _, r := range p.routers {
 		await(p.t, r.name+" uses a server of the restarting pool", func() bool {
 			return users.Call(r.callers, p.request("POST", "/look/first")).Status == 200
 		})
 	}
-	return v
+	return pool
 }
 
-func (v *restartingPool) stop() {
+func (pool *restartingPool) stop() {
 	select {
-	case <-v.stopped:
+	case <-pool.stopped:
 	default:
-		close(v.stopped)
+		close(pool.stopped)
 	}
-	v.loops.Wait()
+	pool.loops.Wait()
 }
 
 // runServer starts a backend server again each time it ends, until the test ends.
-func (v *restartingPool) runServer(place int) {
-	for life := 0; ; life++ {
-		b, err := users.NewBackend(v.p.store, fmt.Sprintf("revived-%d-%d", place, life), "entries", hallA)
+func (pool *restartingPool) runServer(index int) {
+	for restarts := 0; ; restarts++ {
+		b, err := users.NewBackend(pool.platform.store, fmt.Sprintf("revived-%d-%d", index, restarts), "entries", hallA)
 		if err != nil {
-			v.p.t.Error(err)
+			pool.platform.t.Error(err)
 			return
 		}
-		b.Behave(v.behave)
-		v.mu.Lock()
-		v.all = append(v.all, b)
-		v.current[place] = b
-		v.mu.Unlock()
+		b.Behave(pool.behaviour)
+		pool.mu.Lock()
+		pool.all = append(pool.all, b)
+		pool.current[index] = b
+		pool.mu.Unlock()
 		select {
-		case <-v.stopped:
+		case <-pool.stopped:
 			b.Close()
 			return
 		case <-b.Closed():
 		}
-		if v.sleep(restartDelay) {
+		if pool.sleep(restartDelay) {
 			return
 		}
-		v.p.store.Remove("servers/" + b.Name)
+		pool.platform.store.Remove("servers/" + b.Name)
 	}
 }
 
 // sleep waits for a time, and reports whether the test ended before that.
-func (v *restartingPool) sleep(duration time.Duration) bool {
+func (pool *restartingPool) sleep(duration time.Duration) bool {
 	select {
-	case <-v.stopped:
+	case <-pool.stopped:
 		return true
 	case <-time.After(duration):
 		return false
 	}
 }
 
-// closeAt closes the backend servers at some places of the pool at once, independently of the requests.
-func (v *restartingPool) closeAt(places ...int) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, place := range places {
-		go v.current[place].Close()
+// closeAt closes the backend servers at the given indices of the pool at once, independently of the requests.
+func (pool *restartingPool) closeAt(indices ...int) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	for _, index := range indices {
+		go pool.current[index].Close()
 	}
 }
 
 // runsOf returns the runs of requests with a path, in order of time.
-func (v *restartingPool) runsOf(path string) []users.Run {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (pool *restartingPool) runsOf(path string) []users.Run {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	var out []users.Run
-	for _, b := range v.all {
+	for _, b := range pool.all {
 		for _, run := range b.Runs() {
 			if run.Path == path {
 				out = append(out, run)
@@ -175,7 +175,7 @@
 // TestPlatformCrashInducingRequestsAreHeldBack sends requests that crash servers to routers in turn, beside ordinary ones.
 func TestPlatformCrashInducingRequestsAreHeldBack(t *testing.T) {
 	p := newPlatform(t, 6)
-	v := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond, Gap: 20 * time.Millisecond})
+	pool := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond, Gap: 20 * time.Millisecond})
 	callers := []repeatedRequest{
 		{"POST", "/look/lethal", crashBody, 350 * time.Millisecond},
 		{"POST", "/claim/lethal", crashBody, 350 * time.Millisecond},
@@ -185,7 +185,7 @@
 	}
 	answers := p.sendFor(15*time.Second, callers)
 	for _, c := range callers[:2] {
-		runs := v.runsOf(c.path)
+		runs := pool.runsOf(c.path)
 		t.Logf("%s: %d runs, %d late", c.path, len(runs), sendsAfterDetection(runs))
 		if late := sendsAfterDetection(runs); late > allowedSends {
 			t.Errorf("%s was sent %d times after all routers should have been notified of its third crash, of %d", c.path, late, len(runs))
@@ -214,7 +214,7 @@
 // served soon after the last wave.
 func TestPlatformOrdinaryRequestsSurviveServerFailures(t *testing.T) {
 	p := newPlatform(t, 4)
-	v := p.startRestartingPool(users.Behaviour{Gap: 100 * time.Millisecond})
+	pool := p.startRestartingPool(users.Behaviour{Gap: 100 * time.Millisecond})
 	var callers []repeatedRequest
 	for i := range 30 {
 		callers = append(callers, repeatedRequest{"POST", fmt.Sprintf("/look/sound-%d", i), "sound", 50 * time.Millisecond})
@@ -223,11 +223,11 @@
 	waves.Go(func() {
 		for wave := range 5 {
 			time.Sleep(time.Second)
-			places := make([]int, 0, restartingServers/2)
+			indices := make([]int, 0, restartingServers/2)
 			for i := range restartingServers / 2 {
-				places = append(places, (i*2+wave)%restartingServers)
+				indices = append(indices, (i*2+wave)%restartingServers)
 			}
-			v.closeAt(places...)
+			pool.closeAt(indices...)
 		}
 	})
 	answers := p.sendFor(16*time.Second, callers)
@@ -244,7 +244,7 @@
 // are killed at once: new routers read them from the store, and one that starts later receives them from the others.
 func TestPlatformHeldBackRequestsSurviveRestartOfAllRouters(t *testing.T) {
 	p := newPlatform(t, 3)
-	v := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond})
+	pool := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond})
 	crashing := []repeatedRequest{{"POST", "/claim/lethal", crashBody, 300 * time.Millisecond}}
 	p.sendFor(3*time.Second, crashing)
 	await(t, "the held-back request is stored", func() bool { return len(p.store.Keys("tamarindstep/held")) == 1 })
@@ -252,7 +252,7 @@
 		p.is.NoErr(r.cmd.Process.Kill())
 		<-r.exited
 	}
-	before := len(v.runsOf("/claim/lethal"))
+	before := len(pool.runsOf("/claim/lethal"))
 	p.routers = nil
 	for i := range 3 {
 		p.routers = append(p.routers, p.start(i))
@@ -261,14 +261,14 @@
 		p.awaitReady(r)
 	}
 	p.sendFor(10*time.Second, crashing)
-	if more := len(v.runsOf("/claim/lethal")) - before; more > allowedSends {
+	if more := len(pool.runsOf("/claim/lethal")) - before; more > allowedSends {
 		t.Errorf("the request was sent %d more times by restarted routers", more)
 	}
 	p.is.NoErr(p.routers[0].cmd.Process.Kill())
 	<-p.routers[0].exited
-	before = len(v.runsOf("/claim/lethal"))
+	before = len(pool.runsOf("/claim/lethal"))
 	p.routers[0] = p.start(0)
 	p.awaitReady(p.routers[0])
 	p.sendFor(5*time.Second, crashing)
-	p.is.Equal(len(v.runsOf("/claim/lethal")), before)
+	p.is.Equal(len(pool.runsOf("/claim/lethal")), before)
 }
--- a/e2e/crashing_service_test.go
+++ b/e2e/crashing_service_test.go
@@ -101,7 +101,7 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(text)
 	}
-	f.await("a sound request is served", func() bool { status, _ := post(0, "sound"); return status == http.StatusOK })
+	f.await("an ordinary request is served", func() bool { status, _ := post(0, "sound"); return status == http.StatusOK })
 	until := time.Now().Add(10 * time.Second)
 	last := ""
 	for n := 0; time.Now().Before(until); n++ {
@@ -119,7 +119,7 @@
 	if !strings.Contains(last, "held-back") {
 		t.Errorf("the last answer is %s", last)
 	}
-	f.await("a sound request is served", func() bool { status, _ := post(1, "sound"); return status == http.StatusOK })
+	f.await("an ordinary request is served", func() bool { status, _ := post(1, "sound"); return status == http.StatusOK })
 	f.releaseHeld()
 }
 
--- a/e2e/evacuate_test.go
+++ b/e2e/evacuate_test.go
@@ -86,7 +86,7 @@
 	to := p.routers[0].callers
 	p.store.Evacuate("hall-x", "\x00no value")
 	p.store.Evacuate("", "{}")
-	is.True(p.runsInHallA(p.routers[0]) > 0) // no effect
+	is.True(p.runsInHallA(p.routers[0]) > 0) // the evacuations have no effect
 	p.store.Evacuate(hallA, "\x00no value")
 	await(t, "requests are refused", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 503 })
 	for _, r := range []users.Request{p.request("GET", "/look/2"), p.request("POST", "/claim/2"), p.request("POST", "/chat/2")} {
--- a/e2e/faultlog_test.go
+++ b/e2e/faultlog_test.go
@@ -36,78 +36,78 @@
 	idle time.Duration
 }
 
-func (c *faultLog) add(r *router, s interval) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.disturbances == nil {
-		c.disturbances = map[*router][]interval{}
+func (f *faultLog) add(r *router, period interval) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.disturbances == nil {
+		f.disturbances = map[*router][]interval{}
 	}
-	c.disturbances[r] = append(c.disturbances[r], s)
+	f.disturbances[r] = append(f.disturbances[r], period)
 }
 
 // recordStop records a signal that ends a router. After SIGTERM a router still serves requests for minDrainTime.
-func (c *faultLog) recordStop(r *router, signal syscall.Signal) {
+func (f *faultLog) recordStop(r *router, signal syscall.Signal) {
 	from := time.Now()
 	if signal == syscall.SIGTERM {
 		from = from.Add(minDrainTime)
 	}
-	c.add(r, interval{from, from.Add(unbounded)})
+	f.add(r, interval{from, from.Add(unbounded)})
 }
 
 // recordReached records that a router accepted a connection.
-func (c *faultLog) recordReached(r *router) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.reached == nil {
-		c.reached = map[*router]bool{}
+func (f *faultLog) recordReached(r *router) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.reached == nil {
+		f.reached = map[*router]bool{}
 	}
-	c.reached[r] = true
+	f.reached[r] = true
 }
 
-func (c *faultLog) wasReached(r *router) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.reached[r]
+func (f *faultLog) wasReached(r *router) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.reached[r]
 }
 
-func (c *faultLog) recordPause(r *router) { c.add(r, interval{time.Now(), time.Now().Add(unbounded)}) }
+func (f *faultLog) recordPause(r *router) { f.add(r, interval{time.Now(), time.Now().Add(unbounded)}) }
 
-func (c *faultLog) recordResume(r *router) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	intervals := c.disturbances[r]
+func (f *faultLog) recordResume(r *router) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	intervals := f.disturbances[r]
 	if n := len(intervals); n > 0 && time.Until(intervals[n-1].until) > settleTime {
 		intervals[n-1].until = time.Now().Add(settleTime)
 	}
 }
 
-func (c *faultLog) recordMisbehaviour() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.backendFaults = append(c.backendFaults, time.Now())
+func (f *faultLog) recordMisbehaviour() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.backendFaults = append(f.backendFaults, time.Now())
 }
 
 // recordConfigurationDelay records that from now on routers may receive the configuration late.
-func (c *faultLog) recordConfigurationDelay() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.configurationDelayed = true
+func (f *faultLog) recordConfigurationDelay() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.configurationDelayed = true
 }
 
 // recordIdleLimit records the idle limit of connections from now on.
-func (c *faultLog) recordIdleLimit(idle time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.idleLimits = append(c.idleLimits, idleLimit{time.Now(), idle})
+func (f *faultLog) recordIdleLimit(idle time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.idleLimits = append(f.idleLimits, idleLimit{time.Now(), idle})
 }
 
 // maxIdle returns how long a connection may be idle at any router. While some routers may have an older configuration,
 // that is the smallest of all limits that may be in force.
-func (c *faultLog) maxIdle() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	candidates := c.idleLimits
-	if !c.configurationDelayed {
+func (f *faultLog) maxIdle() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	candidates := f.idleLimits
+	if !f.configurationDelayed {
 		recent := slices.IndexFunc(candidates, func(l idleLimit) bool { return time.Since(l.from) < settleTime })
 		if recent < 0 {
 			recent = len(candidates)
@@ -122,16 +122,16 @@
 }
 
 // routerDisturbed reports whether a router was stopped or paused in a period.
-func (c *faultLog) routerDisturbed(r *router, from, until time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.ContainsFunc(c.disturbances[r], func(s interval) bool { return s.from.Before(until) && from.Before(s.until) })
+func (f *faultLog) routerDisturbed(r *router, from, until time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.ContainsFunc(f.disturbances[r], func(period interval) bool { return period.from.Before(until) && from.Before(period.until) })
 }
 
 // backendMisbehaved reports whether a backend server may have broken off an answer before a point in time. A server
 // keeps its behaviour until it is changed.
-func (c *faultLog) backendMisbehaved(until time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.backendFaults) > 0 && c.backendFaults[0].Before(until)
+func (f *faultLog) backendMisbehaved(until time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.backendFaults) > 0 && f.backendFaults[0].Before(until)
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -128,9 +128,9 @@
 }
 
 // configuration returns a configuration file, with additional lines for the account.
-func (f *fleet) configuration(more string) string {
+func (f *fleet) configuration(accountLines string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "version: 1\naccounts:\n  - name: league\n    keys: [%q]\n%s", config.HashKey(leagueKey), more)
+	fmt.Fprintf(&b, "version: 1\naccounts:\n  - name: league\n    keys: [%q]\n%s", config.HashKey(leagueKey), accountLines)
 	b.WriteString("pools:\n  - name: assistant\n    kind: engine\n    expected-output: 20\n    backends:\n")
 	for i := range f.engines {
 		name := fmt.Sprintf("runner-%d", i+1)
--- a/e2e/irregular_callers_test.go
+++ b/e2e/irregular_callers_test.go
@@ -76,15 +76,15 @@
 		flood(p, floodCallers, overloadTime)
 	}()
 	time.Sleep(time.Second)
-	var asking sync.WaitGroup
+	var callers sync.WaitGroup
 	for name := range irregularCallers {
-		asking.Go(func() {
+		callers.Go(func() {
 			for range irregularRounds {
 				callIrregularly(p, name)
 			}
 		})
 	}
-	asking.Wait()
+	callers.Wait()
 	<-ended
 }
 
--- a/e2e/notice_test.go
+++ b/e2e/notice_test.go
@@ -12,14 +12,11 @@
 )
 
 // The tests in this file guard against routers that ignore notices in the headers of answers: that a server leaves, or
-// that it rejects a request and asks for a rest period. They count the requests that reach a server after its notice.
-//
-// With nine routers, requests reached an engine more than two seconds after its notice of leaving: the store was
-// unreachable when the engine began to leave, so that its entry there remained "ready" for another twelve seconds.
-// Engines that had rejected requests and asked a router for three seconds of rest got up to seven further requests from
-// it in that time: they were three of a pool of four under continuous load, and a router avoided a server for only
-// 50 ms after a rejection, whatever rest period it had asked for. A router that logged the notices still ignored them for
-// first attempts, which didn't wait.
+// that it rejects a request and asks for a rest period. On nine routers, an engine got requests more than two seconds
+// after its notice of leaving, because the store was unreachable and its entry there remained "ready" for another twelve
+// seconds. Engines that asked a router for three seconds of rest, three of a pool of four under continuous load, got up
+// to seven further requests from it, because it avoided a server for only 50 ms after a rejection. All of these were
+// first attempts that hadn't waited.
 
 const (
 	// maxLeaveDelay is how long requests may still reach a leaving server after a router has received its notice.
@@ -29,7 +26,7 @@
 	maxRestDelay        = 500 * time.Millisecond
 	allowedWhileResting = 2
 	// noticeDelay is the time in which all routers of these tests have certainly had an answer from each server: each
-	// serves some hundred requests per second.
+	// router gets some hundred requests per second.
 	noticeDelay = time.Second
 	// restPeriod is the rest period that a server asks for.
 	restPeriod = 3 * time.Second
@@ -73,9 +70,9 @@
 
 // startLoad starts sending repeated requests for a time. The function that it returns waits for the end, and returns the
 // answers.
-func (p *platform) startLoad(long time.Duration, callers []repeatedRequest) func() map[string][]users.Answer {
+func (p *platform) startLoad(duration time.Duration, callers []repeatedRequest) func() map[string][]users.Answer {
 	done := make(chan map[string][]users.Answer, 1)
-	go func() { done <- p.sendFor(long, callers) }()
+	go func() { done <- p.sendFor(duration, callers) }()
 	return func() map[string][]users.Answer { return <-done }
 }
 
@@ -170,9 +167,9 @@
 	}
 }
 
-// TestPlatformNoticesApplyToTheirServerOnly guards against notices of leaving that are applied to the wrong server: in a
-// late answer to another request, before another server starts at the same address, and in the header of a stream that is
-// still running.
+// TestPlatformNoticesApplyToTheirServerOnly guards against notices of leaving that are applied to the wrong server, from a
+// late answer to another request or from the previous server at the same address, and against a notice in the header of a
+// stream that is applied only when the stream ends.
 func TestPlatformNoticesApplyToTheirServerOnly(t *testing.T) {
 	p, pool := newPool(t, 1)
 	to := p.routers[0].callers
@@ -204,8 +201,8 @@
 
 	// Engines answer in streams: the notice in the header applies while the stream is still running.
 	p.behave(p.engines, users.Behaviour{Events: 3, Gap: time.Millisecond})
-	long := users.Behaviour{Events: 40, Gap: 100 * time.Millisecond, Leaving: true}
-	p.engines[0].Behave(long)
+	slow := users.Behaviour{Events: 40, Gap: 100 * time.Millisecond, Leaving: true}
+	p.engines[0].Behave(slow)
 	var mu sync.Mutex
 	ended := false
 	var streams sync.WaitGroup
--- a/e2e/overload_test.go
+++ b/e2e/overload_test.go
@@ -68,8 +68,8 @@
 	overloadTime = 8 * time.Second
 	// counterDelay is the longest delay of the router's counters.
 	counterDelay = 2 * time.Second
-	// maxOrdinaryShare is the largest share of refusals on connections that were set up like those of served requests, and
-	// cost as much: refusals may take a quarter of a router's processor time, and took three quarters of it.
+	// maxOrdinaryShare is the largest share of refusals that may cost as much as a served request, on connections set up as
+	// ordinary ones: refusals may take a quarter of a router's processor time; without a limit they took three quarters.
 	maxOrdinaryShare = 0.25
 )
 
--- a/e2e/owncallers_test.go
+++ b/e2e/owncallers_test.go
@@ -76,7 +76,7 @@
 	s.faultLog.recordResume(r)
 }
 
-// ownCaller keeps a connection to each router until the router ends it.
+// ownCaller keeps a connection to each router until the router closes it.
 type ownCaller struct {
 	soak   *ownSoak
 	n      int
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -123,7 +123,7 @@
 	runs := p.runsOf(r.ID)
 	p.is.Equal(len(runs), 2)
 	p.is.Equal(runs[0].LastEvent+runs[1].LastEvent, "3") // the second run continues after the third event
-	p.is.True(got.Err != nil)                            // it breaks off as well, after three events of its own
+	p.is.True(got.Err != nil)                            // it breaks off as well, after event 3 of its own
 	p.is.True(strings.HasPrefix(completeStream(6), got.Body))
 }
 
@@ -144,11 +144,11 @@
 
 func TestPlatformSmuggledRequestsAreRefused(t *testing.T) {
 	p := newPlatform(t, 1)
-	hidden := "POST /claim/1 HTTP/1.1\r\nHost: " + users.Host + "\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /look/1 HTTP/1.1\r\n\r\n"
+	smuggled := "POST /claim/1 HTTP/1.1\r\nHost: " + users.Host + "\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /look/1 HTTP/1.1\r\n\r\n"
 	c, err := users.Dial(p.routers[0].callers)
 	p.is.NoErr(err)
 	defer c.Close()
-	p.is.NoErr(c.Write(hidden))
+	p.is.NoErr(c.Write(smuggled))
 	p.is.Equal(c.Read().Status, 400)
 	p.is.True(c.Read().Err != nil) // the connection is closed
 	for _, b := range p.services {
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -110,7 +110,7 @@
 	}
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(50+s.random.IntN(400)) * time.Millisecond)
-		s.fault()
+		s.injectFault()
 	}
 	s.clearFaults() // before waiting, as callers wait for paused routers
 	callers.Wait()
@@ -135,8 +135,8 @@
 	return out
 }
 
-// fault injects a random fault.
-func (s *soak) fault() {
+// injectFault injects a random fault.
+func (s *soak) injectFault() {
 	if s.restores && s.random.IntN(3) == 0 {
 		s.restoreStore()
 		return
--- a/e2e/unconfirmed_test.go
+++ b/e2e/unconfirmed_test.go
@@ -15,23 +15,23 @@
 func TestPlatformUnconfirmedRoutersDenyNothing(t *testing.T) {
 	p := newPlatform(t, 1)
 	to := p.routers[0].callers
-	stranger := func(path string) users.Answer {
+	callWithNewKey := func(path string) users.Answer {
 		r := p.request("GET", path)
 		r.Key = "key-of-a-newcomer"
 		return users.Call(to, r)
 	}
-	p.is.Equal(stranger("/look/1").Status, 401)
+	p.is.Equal(callWithNewKey("/look/1").Status, 401)
 	p.is.Equal(users.Call(to, p.request("GET", "/new/1")).Status, 404)
 	p.storeProxies[0].Shut()
 	time.Sleep(3 * time.Second)
 	p.accounts["key-of-a-newcomer"] = "newcomer"
 	p.configure()
-	for _, got := range []users.Answer{stranger("/look/1"), users.Call(to, p.request("GET", "/new/1"))} {
+	for _, got := range []users.Answer{callWithNewKey("/look/1"), users.Call(to, p.request("GET", "/new/1"))} {
 		p.is.Equal(got.Status, 503)
 		p.is.True(got.RetryAfter != "")
 	}
 	p.is.Equal(users.Call(to, p.request("GET", "/look/1")).Status, 200) // known routes and keys are still served
 	p.storeProxies[0].Open()
-	await(t, "the new key is served", func() bool { return stranger("/look/1").Status == 200 })
+	await(t, "the new key is served", func() bool { return callWithNewKey("/look/1").Status == 200 })
 	await(t, "the unknown route is answered with 404", func() bool { return users.Call(to, p.request("GET", "/new/1")).Status == 404 })
 }
