--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -12,10 +12,11 @@
 )
 
 // The tests in this file guard against requests that crash one backend server after another. With nine routers and nine
-// engines, one request crashed 14 engines within a day; ten of its sends came after all routers should have been notified
-// of the third crash. It crashed each engine within a tenth of a second, and its caller repeated it with the same path, account and
-// body, under another id and at another router; the engines restarted after some seconds under other names. A router
-// that records crashes only by backend server, and shares no record of the request, sends each repetition as a new one.
+// engines, one request crashed 14 engines within a day; ten of its sends came after all routers should have been
+// notified of the third crash. It crashed each engine within a tenth of a second, and its caller repeated it with the
+// same path, account and body, under another id and at another router; the engines restarted after some seconds under
+// other names. A router that records crashes only by backend server, and shares no record of the request, sends each
+// repetition as a new one.
 
 const (
 	// crashBody is the body of a request that crashes each backend server.
