--- a/e2e/buffers_test.go
+++ b/e2e/buffers_test.go
@@ -14,31 +14,31 @@
 	"github.com/matryer/is"
 )
 
-// bufferName matches the names of constants that are sizes of buffers.
+// bufferName matches the names of constants that are buffer sizes.
 var bufferName = regexp.MustCompile(`(?i)(buffer|buffersize|held|inlinebody|headerbytes)$`)
 
-// sizesAround returns sizes of answers around each buffer on their way, which are found by the names of their
-// constants, and 0 and the largest.
-func sizesAround(t testing.TB) []int {
+// bufferSizes returns answer sizes in bytes: each buffer size of the packages that forward answers, one byte less and
+// one byte more, as well as 0 and the largest answer. The buffers are found by the names of their constants.
+func bufferSizes(t testing.TB) []int {
 	t.Helper()
 	is := is.New(t)
-	out := []int{0, 1, aLot - 1, aLot}
+	out := []int{0, 1, maxAnswer - 1, maxAnswer}
 	for _, dir := range []string{"gateway", "front", "internal/exchange"} {
 		files, err := filepath.Glob(filepath.Join("..", dir, "*.go"))
 		is.NoErr(err)
 		for _, file := range files {
-			for _, size := range buffersOf(t, file) {
+			for _, size := range buffersInFile(t, file) {
 				out = append(out, size-1, size, size+1)
 			}
 		}
 	}
-	is.True(len(out) > 4+3*4) // some were found
+	is.True(len(out) > 4+3*4) // the packages have such constants
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// buffersOf returns the sizes of buffers, in bytes, that a file names.
-func buffersOf(t testing.TB, path string) []int {
+// buffersInFile returns the buffer sizes, in bytes, of the constants in a file.
+func buffersInFile(t testing.TB, path string) []int {
 	t.Helper()
 	is := is.New(t)
 	files := tokens.NewFileSet()
@@ -52,7 +52,7 @@
 		}
 		value, err := types.Eval(files, nil, tokens.NoPos, types.ExprString(spec.Values[0]))
 		if err != nil || value.Value == nil {
-			return true // a variable, or a constant of others
+			return true // not a constant expression on its own
 		}
 		size, err := strconv.Atoi(value.Value.ExactString())
 		is.NoErr(err)
--- a/e2e/fragile_test.go
+++ b/e2e/crashing_service_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// fragile is a plain service that ends under a request with the lethal body, and starts again at the
-// same address after a while.
-type fragile struct {
+// crashingService is a plain service that ends when it gets a request with crashBody, and restarts at the same address
+// after restartDelay.
+type crashingService struct {
 	address string
 	mu      sync.Mutex
-	runs    int // of lethal requests
+	runs    int // of requests with crashBody
 	stopped bool
 	server  *http.Server
 }
 
-func newFragile(t *testing.T) *fragile {
-	f := &fragile{address: freePort(t)}
-	f.begin(t)
+func newCrashingService(t *testing.T) *crashingService {
+	f := &crashingService{address: freePort(t)}
+	f.start(t)
 	t.Cleanup(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -33,7 +33,7 @@
 	return f
 }
 
-func (f *fragile) begin(t *testing.T) {
+func (f *crashingService) start(t *testing.T) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stopped {
@@ -49,9 +49,9 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-func (f *fragile) handle(t *testing.T, w http.ResponseWriter, r *http.Request) {
+func (f *crashingService) handle(t *testing.T, w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	if !bytes.Equal(body, []byte(lethal)) {
+	if !bytes.Equal(body, []byte(crashBody)) {
 		_, _ = io.WriteString(w, "served")
 		return
 	}
@@ -61,23 +61,23 @@
 	f.mu.Unlock()
 	time.Sleep(30 * time.Millisecond)
 	_ = server.Close()
-	time.AfterFunc(backAfter, func() { f.begin(t) })
+	time.AfterFunc(restartDelay, func() { f.start(t) })
 }
 
-func (f *fragile) lethalRuns() int {
+func (f *crashingService) crashRuns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs
 }
 
-// TestRequestsThatEndServersAreHeldBack is of the product's own interface: its backend servers start
-// again under their names, and a caller sends what ends them to the routers in turn.
-func TestRequestsThatEndServersAreHeldBack(t *testing.T) {
+// TestCrashInducingRequestsAreHeldBack guards against requests that crash one backend server after another, with the
+// product's own interface: servers restart under their names, and a caller repeats the request at the routers in turn.
+func TestCrashInducingRequestsAreHeldBack(t *testing.T) {
 	f := newFleet(t, 3)
-	var servers []*fragile
+	var servers []*crashingService
 	var pool strings.Builder
 	for i := range 4 {
-		servers = append(servers, newFragile(t))
+		servers = append(servers, newCrashingService(t))
 		pool.WriteString("      - {name: fragile-" + string(rune('a'+i)) + ", address: \"" + servers[i].address + "\", data-hall: hall-a, slots: 50}\n")
 	}
 	before := f.configuration("")
@@ -101,34 +101,34 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(text)
 	}
-	f.await("a sound request is served", func() bool { status, _ := post(0, "sound"); return status == http.StatusOK })
+	f.await("an ordinary request is served", func() bool { status, _ := post(0, "sound"); return status == http.StatusOK })
 	until := time.Now().Add(10 * time.Second)
 	last := ""
 	for n := 0; time.Now().Before(until); n++ {
-		_, last = post(n, lethal)
+		_, last = post(n, crashBody)
 		time.Sleep(250 * time.Millisecond)
 	}
 	runs := 0
 	for _, s := range servers {
-		runs += s.lethalRuns()
+		runs += s.crashRuns()
 	}
 	t.Logf("%d runs", runs)
-	if runs > 3+sendsAfter {
-		t.Errorf("%d servers ended", runs)
+	if runs > 3+allowedSends {
+		t.Errorf("%d servers crashed", runs)
 	}
 	if !strings.Contains(last, "held-back") {
-		t.Errorf("last answered with %s", last)
+		t.Errorf("the last answer is %s", last)
 	}
-	f.await("a sound request is served", func() bool { status, _ := post(1, "sound"); return status == http.StatusOK })
+	f.await("an ordinary request is served", func() bool { status, _ := post(1, "sound"); return status == http.StatusOK })
 	f.releaseHeld()
 }
 
-// releaseHeld wants one request to be held back, as operators see it, and lets it through.
+// releaseHeld checks that the status lists exactly one held-back request, and releases it by the command line.
 func (f *fleet) releaseHeld() {
 	f.t.Helper()
 	held := f.status(f.routers[2]).Held
 	if len(held) != 1 || held[0].Account != "league" || held[0].Routers != 3 || held[0].Ends < 2 {
-		f.t.Fatalf("held back: %+v", held)
+		f.t.Fatalf("held-back requests: %+v", held)
 	}
 	for _, bad := range []string{"nonsense", "00", "0000000000000000"} {
 		if code, out := f.ctl(f.routers[0], "release", bad); code == 0 || !strings.Contains(out, "isn't a fingerprint") {
@@ -138,5 +138,5 @@
 	if code, out := f.ctl(f.routers[0], "release", held[0].Fingerprint); code != 0 {
 		f.t.Fatalf("release: exit code %d: %s", code, out)
 	}
-	f.await("nothing is held back", func() bool { return len(f.status(f.routers[1]).Held) == 0 })
+	f.await("no request is held back", func() bool { return len(f.status(f.routers[1]).Held) == 0 })
 }
--- a/e2e/manners_test.go
+++ b/e2e/misuse_test.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// mannersStall is how long a caller may take nothing of its answer: longer than a backend server may be silent
-	// before its caller's leaving is held against it, twice the objective of 800 ms.
-	mannersStall = 2 * time.Second
-	// endsSoon bounds what a router must end by itself.
-	endsSoon = 20 * time.Second
+	// misuseStallLimit is how long a caller may read nothing of its answer. A caller that leaves counts as a failure of a
+	// backend server that has been silent for twice the objective of 800 ms; the limit is longer than that.
+	misuseStallLimit = 2 * time.Second
+	// closeTimeout bounds the time in which a router must close a connection.
+	closeTimeout = 20 * time.Second
 )
 
-// manners is a router whose bounds are short, and a caller that does what it shouldn't.
-type manners struct {
-	*world
+// misuse is a router with short limits, and a caller that doesn't behave as it should.
+type misuse struct {
+	*platform
 	caller *users.Caller
 }
 
-func newManners(t *testing.T) *manners {
-	w := newWorld(t, 1, "--caller-stall-seconds", fmt.Sprint(mannersStall.Seconds()))
-	c, err := users.Dial(w.routers[0].callers)
-	w.is.NoErr(err)
+func newMisuse(t *testing.T) *misuse {
+	p := newPlatform(t, 1, "--caller-stall-seconds", fmt.Sprint(misuseStallLimit.Seconds()))
+	c, err := users.Dial(p.routers[0].callers)
+	p.is.NoErr(err)
 	t.Cleanup(c.Close)
-	w.is.NoErr(c.SetDeadline(time.Now().Add(endsSoon)))
-	return &manners{world: w, caller: c}
+	p.is.NoErr(c.SetDeadline(time.Now().Add(closeTimeout)))
+	return &misuse{platform: p, caller: c}
 }
 
 // checkOthers checks that another caller is served.
-func (m *manners) checkOthers() {
+func (m *misuse) checkOthers() {
 	m.t.Helper()
 	got := users.Call(m.routers[0].callers, m.request("POST", "/claim/1?bytes=6000"))
 	if got.Err != nil || got.Status != 200 || len(got.Body) != 6000 {
@@ -46,16 +46,16 @@
 	}
 }
 
-// checkGone checks that the router ends with nothing of its callers.
-func (m *manners) checkGone() {
+// checkNoConnections waits until the router has no connection to a caller.
+func (m *misuse) checkNoConnections() {
 	m.t.Helper()
-	await(m.t, "nothing is left of the callers", func() bool { return connections(m.t, m.routers[0].callers) == 0 })
+	await(m.t, "the router has no connection to a caller", func() bool { return connections(m.t, m.routers[0].callers) == 0 })
 }
 
-// TestPlatformCallerSendsAByteASecond guards against callers that hold a place by sending very slowly: the header must come
-// in the configuration's time, 3 s.
+// TestPlatformCallerSendsAByteASecond guards against callers that occupy a connection by sending very slowly: the header
+// must arrive within the configured timeout of 3 s.
 func TestPlatformCallerSendsAByteASecond(t *testing.T) {
-	m := newManners(t)
+	m := newMisuse(t)
 	sent := 0
 	for _, b := range "POST /claim/1 HTTP/1.1\r\nHost: " + users.Host {
 		if m.caller.Write(string(b)) != nil || m.caller.Ended() {
@@ -69,38 +69,38 @@
 	}
 	m.is.True(sent < 6)
 	m.caller.Close()
-	m.checkGone()
+	m.checkNoConnections()
 }
 
-// TestPlatformCallerNeverReads guards against answers that are held for callers which take nothing: each is broken off after
-// the bound and counted, while others are served.
+// TestPlatformCallerNeverReads guards against answers that are kept for callers which never read them: each is broken off
+// after the stall limit and counted, while other callers are served.
 func TestPlatformCallerNeverReads(t *testing.T) {
-	m := newManners(t)
-	const callers, requests = 20, 8 // answers of 1 MB, far more than the system takes
+	m := newMisuse(t)
+	const callers, requests = 20, 8 // answers of 1 MB, far more than the kernel buffers
 	for range callers {
 		c, err := users.DialNarrow(m.routers[0].callers)
 		m.is.NoErr(err)
 		t.Cleanup(c.Close)
 		for range requests {
-			m.is.NoErr(c.Send(m.request("POST", fmt.Sprintf("/look/1?bytes=%d", aLot))))
+			m.is.NoErr(c.Send(m.request("POST", fmt.Sprintf("/look/1?bytes=%d", maxAnswer))))
 		}
 	}
 	m.checkOthers()
-	await(t, "all are broken off", func() bool { return m.counted(`tamarindstep_broken_answers_total{cause="caller-stalled"} 20`) })
+	await(t, "all answers are broken off", func() bool { return m.hasMetric(`tamarindstep_broken_answers_total{cause="caller-stalled"} 20`) })
 	m.caller.Close()
-	m.checkGone()
+	m.checkNoConnections()
 	m.checkOthers()
 }
 
-// counted tells whether the router's counters have a line.
-func (m *manners) counted(line string) bool { return strings.Contains(m.metrics(), line) }
+// hasMetric reports whether the router's metrics contain a line.
+func (m *misuse) hasMetric(line string) bool { return strings.Contains(m.metrics(), line) }
 
-func (m *manners) metrics() string { return metricsOf(m.t, m.routers[0]) }
+func (m *misuse) metrics() string { return metricsOf(m.t, m.routers[0]) }
 
-// TestPlatformCallersReadTooSlowly guards against backend servers that pass for failed as callers take their answers more slowly
-// than the time of their requests allows.
+// TestPlatformCallersReadTooSlowly guards against backend servers that are considered failed because callers read their
+// answers too slowly for the time limits of their requests.
 func TestPlatformCallersReadTooSlowly(t *testing.T) {
-	m := newManners(t)
+	m := newMisuse(t)
 	const slow = 20
 	var callers sync.WaitGroup
 	for range slow {
@@ -108,12 +108,12 @@
 		m.is.NoErr(err)
 		t.Cleanup(c.Close)
 		c.SetPace(users.Pace{Bytes: 1000, Pause: 20 * time.Millisecond})
-		r := m.request("POST", fmt.Sprintf("/look/1?bytes=%d", aLot))
+		r := m.request("POST", fmt.Sprintf("/look/1?bytes=%d", maxAnswer))
 		r.TimeLeft = time.Second
 		m.is.NoErr(c.Send(r))
 		callers.Go(func() {
 			if got := c.Read(); got.Err == nil {
-				t.Errorf("%s was whole", r.ID)
+				t.Errorf("%s: the answer was whole, want it broken off at the time limit", r.ID)
 			}
 		})
 	}
@@ -122,12 +122,12 @@
 	m.checkOthers()
 }
 
-// TestPlatformCallersLeaveUnread guards against backend servers that pass for failed as callers leave which have read nothing
-// for long, of answers that are held whole and of those that are passed on.
-func TestPlatformCallersLeaveUnread(t *testing.T) {
-	for _, size := range []int{maxHeld, aLot} {
+// TestPlatformCallersDisconnectWithoutReading guards against backend servers that are considered failed because callers
+// disconnect after reading nothing for a while, both for answers that are buffered whole and for those forwarded early.
+func TestPlatformCallersDisconnectWithoutReading(t *testing.T) {
+	for _, size := range []int{maxBufferedAnswer, maxAnswer} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			m := newManners(t)
+			m := newMisuse(t)
 			var callers []*users.Caller
 			for range 20 {
 				c, err := users.DialNarrow(m.routers[0].callers)
@@ -135,21 +135,21 @@
 				m.is.NoErr(c.Send(m.request("POST", fmt.Sprintf("/claim/1?bytes=%d", size))))
 				callers = append(callers, c)
 			}
-			time.Sleep(mannersStall * 9 / 10)
+			time.Sleep(misuseStallLimit * 9 / 10)
 			for _, c := range callers {
 				c.Reset()
 			}
 			m.caller.Close()
-			m.checkGone()
+			m.checkNoConnections()
 			m.checkOthers()
 		})
 	}
 }
 
-// TestPlatformCallerHalfCloses guards against work for callers that are gone: one that ends its writing counts as such, as the
-// two can't be told apart. Nothing runs twice, and the connection ends without an answer.
+// TestPlatformCallerHalfCloses guards against work for callers that have left: one that closes its sending side counts as
+// such, as the two can't be distinguished. Nothing runs twice, and the connection is closed without an answer.
 func TestPlatformCallerHalfCloses(t *testing.T) {
-	m := newManners(t)
+	m := newMisuse(t)
 	m.behave(m.services, users.Behaviour{Gap: 100 * time.Millisecond})
 	r := m.request("POST", "/look/1")
 	m.is.NoErr(m.caller.Send(r))
@@ -160,13 +160,13 @@
 	m.is.True(len(m.runsOf(r.ID)) <= 1)
 	m.checkOthers()
 	m.caller.Close()
-	m.checkGone()
+	m.checkNoConnections()
 }
 
-// TestPlatformCallerSendsAhead guards against answers that are mixed up or lost as the next requests are there already: they come
-// in order, each whole.
+// TestPlatformCallerSendsAhead guards against answers that are mixed up or lost when a caller pipelines its requests: they
+// arrive in order, each whole.
 func TestPlatformCallerSendsAhead(t *testing.T) {
-	m := newManners(t)
+	m := newMisuse(t)
 	var sent []users.Request
 	for _, size := range []int{6000, 0, 300_000, 16} {
 		r := m.request("POST", fmt.Sprintf("/claim/1?bytes=%d", size))
@@ -184,10 +184,10 @@
 	}
 }
 
-// TestPlatformCallerSendsMoreThanItSaid guards against a body's surplus that is taken for part of it: the request is served as it
-// was said, the rest is refused as a request, and the connection ends.
-func TestPlatformCallerSendsMoreThanItSaid(t *testing.T) {
-	m := newManners(t)
+// TestPlatformCallerSendsMoreThanItsContentLength guards against surplus bytes that are taken as part of the body: the
+// request is served with its declared length, the rest is refused as a malformed request, and the connection is closed.
+func TestPlatformCallerSendsMoreThanItsContentLength(t *testing.T) {
+	m := newMisuse(t)
 	r := m.request("POST", "/claim/1")
 	m.is.NoErr(m.caller.Send(r))
 	m.is.NoErr(m.caller.Write("and more than that\r\n\r\n"))
--- a/e2e/notice_test.go
+++ b/e2e/notice_test.go
@@ -11,46 +11,40 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// What was seen: on the league's nine routers, requests reached an engine over two seconds after its
-// answers had told the routers that it leaves; and engines that had turned a router's requests away and asked
-// it for three seconds of rest got up to seven further ones of it in that time.
-//
-// How it came about: the store was silent as the engine began to leave, so its entry there said "ready" for
-// twelve seconds more. The resting engines were three of a pool of four, and callers went on coming.
-//
-// Cause: routers passed answers on and heard nothing of what stood in their heads. Leaving was known from
-// the store alone, and a server that turned a request away was left out for 50 ms, however long it asked for.
-//
-// Proof: the tests below count what reaches a server after it has spoken. With what answers say on the log,
-// the routers wrote down each word and went on sending first sends that waited for nothing.
+// The tests in this file guard against routers that ignore notices in the headers of answers: that a server leaves, or
+// that it rejects a request and asks for a rest period. On nine routers, an engine got requests more than two seconds
+// after its notice of leaving, because the store was unreachable and its entry there remained "ready" for another twelve
+// seconds. Engines that asked a router for three seconds of rest, three of a pool of four under continuous load, got up
+// to seven further requests from it, because it avoided a server for only 50 ms after a rejection. All of these were
+// first attempts that hadn't waited.
 
 const (
-	// leaveWithin is how long after a router has passed the word on requests may still reach a server that leaves.
-	leaveWithin = 2 * time.Second
-	// restBegins is how long after the word requests may still reach a server that rests, and restAllows how
-	// many of each router may after that.
-	restBegins = 500 * time.Millisecond
-	restAllows = 2
-	// heardBy is when all routers of these tests have surely had an answer of each server: each has some
-	// hundred requests a second.
-	heardBy = time.Second
-	// rest is how long a server asks to be left alone.
-	rest = 3 * time.Second
+	// maxLeaveDelay is how long requests may still reach a leaving server after a router has received its notice.
+	maxLeaveDelay = 2 * time.Second
+	// maxRestDelay is how long requests may still reach a resting server after its notice, and allowedWhileResting how
+	// many from each router may reach it after that.
+	maxRestDelay        = 500 * time.Millisecond
+	allowedWhileResting = 2
+	// noticeDelay is the time in which all routers of these tests have certainly had an answer from each server: each
+	// router gets some hundred requests per second.
+	noticeDelay = time.Second
+	// restPeriod is the rest period that a server asks for.
+	restPeriod = 3 * time.Second
 )
 
-// newPool starts a pool of four plain services, and routers that use them; the services that every world has are gone.
-func newPool(t *testing.T, routers int) (*world, []*users.Backend) {
-	w := newWorld(t, routers)
-	for _, b := range w.services {
-		w.store.Remove("servers/" + b.Name)
+// newPool starts a pool of four plain services in place of the usual ones, and routers that use them.
+func newPool(t *testing.T, routers int) (*platform, []*users.Backend) {
+	p := newPlatform(t, routers)
+	for _, b := range p.services {
+		p.store.Remove("servers/" + b.Name)
 	}
 	var pool []*users.Backend
 	for i := range 4 {
-		pool = append(pool, w.backend(fmt.Sprintf("pool-run-%d", i), "entries"))
+		pool = append(pool, p.backend(fmt.Sprintf("pool-run-%d", i), "entries"))
 	}
-	w.behave(pool, users.Behaviour{Gap: 25 * time.Millisecond})
+	p.behave(pool, users.Behaviour{Gap: 25 * time.Millisecond})
 	await(t, "every server of the pool is used", func() bool {
-		users.Call(w.routers[w.last.Load()%int64(routers)].callers, w.request("GET", "/look/first"))
+		users.Call(p.routers[p.last.Load()%int64(routers)].callers, p.request("GET", "/look/first"))
 		for _, b := range pool {
 			if len(b.Runs()) == 0 {
 				return false
@@ -58,29 +52,31 @@
 		}
 		return true
 	})
-	return w, pool
+	return p, pool
 }
 
-// crowd returns callers that come all the time.
-func crowd(n int) []caller {
-	var out []caller
+// continuousLoad returns a number of requests that are repeated every 5 ms.
+func continuousLoad(n int) []repeatedRequest {
+	var out []repeatedRequest
 	for i := range n {
 		method, path := "GET", fmt.Sprintf("/look/crowd-%d", i)
 		if i%2 == 1 {
 			method, path = "POST", fmt.Sprintf("/claim/crowd-%d", i)
 		}
-		out = append(out, caller{method, path, "the body", 5 * time.Millisecond})
+		out = append(out, repeatedRequest{method, path, "the body", 5 * time.Millisecond})
 	}
 	return out
 }
 
-// begin lets callers come for some time, and returns what gives their answers once they have ended.
-func (w *world) begin(long time.Duration, callers []caller) func() map[string][]users.Answer {
+// startLoad starts sending repeated requests for a time. The function that it returns waits for the end, and returns the
+// answers.
+func (p *platform) startLoad(duration time.Duration, callers []repeatedRequest) func() map[string][]users.Answer {
 	done := make(chan map[string][]users.Answer, 1)
-	go func() { done <- w.callFor(long, callers) }()
+	go func() { done <- p.sendFor(duration, callers) }()
 	return func() map[string][]users.Answer { return <-done }
 }
 
+// statuses counts answers by their status.
 func statuses(answers map[string][]users.Answer) map[int]int {
 	out := map[int]int{}
 	for _, all := range answers {
@@ -91,151 +87,155 @@
 	return out
 }
 
-func TestPlatformServersThatSayTheyLeaveGetNothing(t *testing.T) {
-	w, pool := newPool(t, 3)
-	for _, door := range w.doors {
-		door.Shut()
+// TestPlatformServersThatAnnounceLeavingGetNothing counts requests to a server after its notice, with the store cut off.
+func TestPlatformServersThatAnnounceLeavingGetNothing(t *testing.T) {
+	p, pool := newPool(t, 3)
+	for _, proxy := range p.storeProxies {
+		proxy.Shut()
 	}
-	answers := w.begin(9*time.Second, crowd(24))
+	answers := p.startLoad(9*time.Second, continuousLoad(24))
 	time.Sleep(2 * time.Second)
 	leaving := pool[1]
-	spoke := time.Now()
+	announced := time.Now()
 	leaving.Behave(users.Behaviour{Gap: 25 * time.Millisecond, Leaving: true})
 	time.Sleep(6 * time.Second)
-	before := leaving.Arrivals(spoke.Add(-2*time.Second), spoke)
-	after := leaving.Arrivals(spoke.Add(heardBy+leaveWithin), time.Now())
-	t.Logf("%d requests in the two seconds before it spoke, %d from three seconds after it", before, after)
-	w.is.True(before > 50)
+	before := leaving.Arrivals(announced.Add(-2*time.Second), announced)
+	after := leaving.Arrivals(announced.Add(noticeDelay+maxLeaveDelay), time.Now())
+	t.Logf("%d requests in the two seconds before the notice, %d from three seconds after it", before, after)
+	p.is.True(before > 50)
 	if after > 0 {
-		t.Errorf("%d requests reached a server from three seconds on after it had said that it leaves", after)
+		t.Errorf("%d requests reached a server more than three seconds after its notice of leaving", after)
 	}
 	if got := statuses(answers()); got[200] == 0 || len(got) != 1 {
-		t.Errorf("callers got, by status: %v", got)
+		t.Errorf("callers got, by status: %v, want 200 only", got)
 	}
 }
 
-// spreadMost is how much later than the servers have rested callers may be asked back: these come by the hundred, and are spread.
-const spreadMost = 3500 * time.Millisecond
+// maxRetrySpread is how much later than the end of the rest period a Retry-After time may be: there are hundreds of
+// callers, whose retries are spread.
+const maxRetrySpread = 3500 * time.Millisecond
 
-// refusedUntil checks that a request is refused, and its caller asked back when the servers have rested.
-func (w *world) refusedUntil(over time.Time) {
-	w.t.Helper()
-	for _, r := range w.routers {
-		left := time.Until(over).Seconds()
-		got := users.Call(r.callers, w.request("POST", "/claim/refused"))
+// checkRefusedUntil checks that each router refuses a request, with a Retry-After time at the end of the rest period.
+func (p *platform) checkRefusedUntil(restEnd time.Time) {
+	p.t.Helper()
+	for _, r := range p.routers {
+		left := time.Until(restEnd).Seconds()
+		got := users.Call(r.callers, p.request("POST", "/claim/refused"))
 		after, err := strconv.ParseFloat(got.RetryAfter, 64)
-		if got.Status != 503 || err != nil || after < left-1 || after > left+spreadMost.Seconds() {
-			w.t.Errorf("a caller whose servers rest for another %.1f s gets %d and is asked back after %q s", left, got.Status, got.RetryAfter)
+		if got.Status != 503 || err != nil || after < left-1 || after > left+maxRetrySpread.Seconds() {
+			p.t.Errorf("with another %.1f s of rest, a caller got status %d and Retry-After %q", left, got.Status, got.RetryAfter)
 		}
 	}
 }
 
-func TestPlatformServersThatAskForRestAreLeftAlone(t *testing.T) {
+// TestPlatformRequestedRestIsRespected counts requests to servers in their rest period, and checks the refusals if all rest.
+func TestPlatformRequestedRestIsRespected(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		resting int
 	}{{"one of four", 1}, {"all four", 4}} {
 		t.Run(c.name, func(t *testing.T) {
-			w, pool := newPool(t, 3)
-			answers := w.begin(2*rest+2*time.Second, crowd(24))
+			p, pool := newPool(t, 3)
+			answers := p.startLoad(2*restPeriod+2*time.Second, continuousLoad(24))
 			time.Sleep(time.Second)
-			tired := pool[:c.resting]
-			spoke := time.Now()
-			over := spoke.Add(rest)
-			w.behave(tired, users.Behaviour{Rest: strconv.Itoa(int(rest.Seconds()))})
-			time.Sleep(heardBy)
+			resting := pool[:c.resting]
+			announced := time.Now()
+			restEnd := announced.Add(restPeriod)
+			p.behave(resting, users.Behaviour{Rest: strconv.Itoa(int(restPeriod.Seconds()))})
+			time.Sleep(noticeDelay)
 			if c.resting == len(pool) {
-				w.refusedUntil(over)
+				p.checkRefusedUntil(restEnd)
 			}
-			// They are well a little before the time that they have asked for is over.
-			time.Sleep(time.Until(over.Add(-restBegins)))
-			w.behave(tired, users.Behaviour{Gap: 25 * time.Millisecond})
-			time.Sleep(time.Until(over))
-			for _, b := range tired {
-				got := b.Arrivals(spoke.Add(restBegins), over)
-				t.Logf("%s got %d requests while it rested", b.Name, got)
-				if got > restAllows*len(w.routers) {
-					t.Errorf("%s had asked for rest and got %d requests", b.Name, got)
+			// They serve again a little before the end of their rest period.
+			time.Sleep(time.Until(restEnd.Add(-maxRestDelay)))
+			p.behave(resting, users.Behaviour{Gap: 25 * time.Millisecond})
+			time.Sleep(time.Until(restEnd))
+			for _, b := range resting {
+				got := b.Arrivals(announced.Add(maxRestDelay), restEnd)
+				t.Logf("%s got %d requests during its rest period", b.Name, got)
+				if got > allowedWhileResting*len(p.routers) {
+					t.Errorf("%s got too many requests during its rest period: %d", b.Name, got)
 				}
 			}
 			t.Logf("callers got, by status: %v", statuses(answers()))
-			for _, b := range tired {
-				if n := b.Arrivals(over.Add(time.Second), over.Add(rest)); n < 50 {
-					t.Errorf("%s has rested and gets %d requests", b.Name, n)
+			for _, b := range resting {
+				if n := b.Arrivals(restEnd.Add(time.Second), restEnd.Add(restPeriod)); n < 50 {
+					t.Errorf("%s got too few requests after its rest period: %d", b.Name, n)
 				}
 			}
 		})
 	}
 }
 
-// TestPlatformWordsAreHeardFromTheirServerOnly lets a server say that it leaves in the head of a stream that goes on, in a
-// late answer to another request, and before its next life begins at its address.
-func TestPlatformWordsAreHeardFromTheirServerOnly(t *testing.T) {
-	w, pool := newPool(t, 1)
-	to := w.routers[0].callers
+// TestPlatformNoticesApplyToTheirServerOnly guards against notices of leaving that are applied to the wrong server, from a
+// late answer to another request or from the previous server at the same address, and against a notice in the header of a
+// stream that is applied only when the stream ends.
+func TestPlatformNoticesApplyToTheirServerOnly(t *testing.T) {
+	p, pool := newPool(t, 1)
+	to := p.routers[0].callers
 	for _, b := range pool[2:] {
 		b.Close()
-		w.store.Remove("servers/" + b.Name)
+		p.store.Remove("servers/" + b.Name)
 	}
-	// Each serves 20 requests: late answers to others are no word of theirs.
-	w.behave(pool[:2], users.Behaviour{Surplus: true, Misled: true})
+	// Notices in late answers to other requests aren't theirs: each server still serves some of 20 requests.
+	p.behave(pool[:2], users.Behaviour{Surplus: true, Misled: true})
 	used := func(b *users.Backend) bool {
 		n := len(b.Runs())
 		for range 20 {
-			users.Call(to, w.request("POST", "/claim/1"))
+			users.Call(to, p.request("POST", "/claim/1"))
 		}
 		return len(b.Runs()) > n
 	}
-	await(t, "both are used again", func() bool { return used(pool[0]) && used(pool[1]) })
+	await(t, "both servers are used again", func() bool { return used(pool[0]) && used(pool[1]) })
 
-	w.behave(pool[:2], users.Behaviour{})
+	p.behave(pool[:2], users.Behaviour{})
 	pool[0].Behave(users.Behaviour{Leaving: true})
-	await(t, "it has spoken", func() bool { return used(pool[0]) })
-	w.is.True(!used(pool[0]))
-	w.is.True(used(pool[1]))
+	await(t, "it has sent its notice", func() bool { return used(pool[0]) })
+	p.is.True(!used(pool[0]))
+	p.is.True(used(pool[1]))
 
 	next, err := pool[0].Again("pool-run-again")
-	w.is.NoErr(err)
+	p.is.NoErr(err)
 	t.Cleanup(next.Close)
-	await(t, "its next life is used", func() bool { return used(next) })
+	await(t, "the new server at its address is used", func() bool { return used(next) })
 
-	// The engines answer in streams; the head tells while the rest is still to come.
-	w.behave(w.engines, users.Behaviour{Events: 3, Gap: time.Millisecond})
-	long := users.Behaviour{Events: 40, Gap: 100 * time.Millisecond, Leaving: true}
-	w.engines[0].Behave(long)
+	// Engines answer in streams: the notice in the header applies while the stream is still running.
+	p.behave(p.engines, users.Behaviour{Events: 3, Gap: time.Millisecond})
+	slow := users.Behaviour{Events: 40, Gap: 100 * time.Millisecond, Leaving: true}
+	p.engines[0].Behave(slow)
 	var mu sync.Mutex
 	ended := false
 	var streams sync.WaitGroup
 	defer streams.Wait()
-	await(t, "the head has come", func() bool {
-		r := w.request("POST", "/unhurried/1")
+	await(t, "the stream has begun", func() bool {
+		r := p.request("POST", "/unhurried/1")
 		streams.Go(func() {
 			got := users.Call(to, r)
 			mu.Lock()
 			defer mu.Unlock()
-			ended = ended || got.Body == whole(40)
+			ended = ended || got.Body == completeStream(40)
 		})
 		time.Sleep(50 * time.Millisecond)
-		return len(w.engines[0].Runs()) > 0
+		return len(p.engines[0].Runs()) > 0
 	})
-	time.Sleep(200 * time.Millisecond) // until its first event has been handed on
+	time.Sleep(200 * time.Millisecond) // until its first event has been forwarded
 	for range 20 {
-		w.is.Equal(users.Call(to, w.request("POST", "/unhurried/1")).Body, whole(3))
+		p.is.Equal(users.Call(to, p.request("POST", "/unhurried/1")).Body, completeStream(3))
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	w.is.True(!ended) // it still runs
+	p.is.True(!ended) // the stream is still running
 }
 
-// TestEnginesThatAskForRestAreLeftAlone is the same with the product's own interface, whose engines ask for rest as well.
-func TestEnginesThatAskForRestAreLeftAlone(t *testing.T) {
+// TestRequestedRestIsRespected checks the same for engines with the product's own interface.
+func TestRequestedRestIsRespected(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 2)
-	tired := f.engines[0]
-	tired.SetFaults(standin.Faults{Rest: strconv.Itoa(int(rest.Seconds()))})
+	resting := f.engines[0]
+	resting.SetFaults(standin.Faults{Rest: strconv.Itoa(int(restPeriod.Seconds()))})
 	ask := func(n int) map[int]int {
 		got := make([]int, n)
-		together(n, func(i int) {
+		concurrently(n, func(i int) {
 			got[i] = f.call(f.routers[i%2], "/v1/completions", `{"model":"chat","prompt":"a b","max_tokens":2}`).status
 		})
 		byStatus := map[int]int{}
@@ -244,15 +244,15 @@
 		}
 		return byStatus
 	}
-	await(t, "it has asked for rest", func() bool { ask(40); return tired.Turned() > 0 })
-	ask(40) // so that it has asked each router that uses it
-	time.Sleep(restBegins)
-	before := tired.Turned()
+	await(t, "it has asked for a rest period", func() bool { ask(40); return resting.Turned() > 0 })
+	ask(40) // so that each router has received the request for rest
+	time.Sleep(maxRestDelay)
+	before := resting.Turned()
 	got := ask(200)
-	t.Logf("answers, by status: %v; %d requests turned away before, and %d of these", got, before, tired.Turned()-before)
-	is.True(tired.Turned()-before <= restAllows*len(f.routers))
+	t.Logf("answers, by status: %v; %d requests rejected before, and %d of these", got, before, resting.Turned()-before)
+	is.True(resting.Turned()-before <= allowedWhileResting*len(f.routers))
 	is.True(got[200] >= 190)
-	tired.SetFaults(standin.Faults{})
-	ran := len(tired.Runs())
-	await(t, "it serves again", func() bool { ask(40); return len(tired.Runs()) > ran })
+	resting.SetFaults(standin.Faults{})
+	ran := len(resting.Runs())
+	await(t, "it serves again", func() bool { ask(40); return len(resting.Runs()) > ran })
 }
--- a/e2e/restore_test.go
+++ b/e2e/restore_test.go
@@ -9,56 +9,51 @@
 	"time"
 )
 
-// What was seen, in trials with the real programs: after the store had come back from a copy some seconds old, with its
-// revisions given out again, servers that announced that they drain got 94 of some 180 requests, and a router that
-// started was alone for fifteen seconds.
-//
-// How it came about: the store's revisions went back, and the copy was older than the key that all routers share.
-//
-// Cause: a revision was taken for a moment in the life of the store, and whatever was of a lower one for older: there was
-// no word for the store's having another life. The key was made once and then only read.
-//
-// Proof: the tests below, in which the store does that while three routers watch it.
+// The tests in this file guard against routers that don't handle a restore of the store to an earlier revision, after which
+// it assigns revisions again that it had assigned before. A router that considers any lower revision older ignores the
+// changes after a restore: servers that announced that they drain got 94 of some 180 requests. If the copy is older than
+// the peer key, and routers only read the key after creating it once, a new router can't join the others: one was alone for
+// fifteen seconds. In the tests the store is restored while three routers watch it.
 
-// returnedFor is how long after a return it is looked at what goes where.
-const returnedFor = 3 * time.Second
+// observationTime is how long the routers are observed after a restore.
+const observationTime = 3 * time.Second
 
-// write lets some of the store's revisions pass.
-func (w *world) write(changes int) {
+// addRevisions makes a number of changes to an unrelated key of the store.
+func (p *platform) addRevisions(changes int) {
 	for i := range changes {
-		w.store.Put("others/key", []byte(fmt.Sprint(i)))
+		p.store.Put("others/key", []byte(fmt.Sprint(i)))
 	}
 }
 
-func TestPlatformServersThatDrainAfterAReturnGetNothing(t *testing.T) {
-	w, pool := newPool(t, 3)
-	copied := w.store.Revision()
-	w.write(60)
+func TestPlatformDrainingServersGetNothingAfterStoreRestore(t *testing.T) {
+	p, pool := newPool(t, 3)
+	revision := p.store.Revision()
+	p.addRevisions(60)
 	pool[0].Announce("draining")
-	time.Sleep(leaveWithin) // until all have seen it
-	w.store.Restore(copied)
+	time.Sleep(maxLeaveDelay) // until all routers have received it
+	p.store.Restore(revision)
 	restored := time.Now()
 	for _, b := range pool[1:] {
 		b.Announce("ready")
 	}
-	answers := w.begin(2*returnedFor, crowd(12))
+	answers := p.startLoad(2*observationTime, continuousLoad(12))
 	time.Sleep(time.Second)
 	pool[1].Announce("draining")
 	drained := time.Now()
 	got := statuses(answers())
-	late := pool[1].Arrivals(drained.Add(leaveWithin), time.Now())
-	t.Logf("callers got, by status: %v; %d requests reached a server two seconds and more after it had announced that it drains", got, late)
+	late := pool[1].Arrivals(drained.Add(maxLeaveDelay), time.Now())
+	t.Logf("callers got, by status: %v; %d requests reached a draining server more than two seconds after its announcement", got, late)
 	if late > 0 {
-		t.Errorf("%d requests reached a server that drains", late)
+		t.Errorf("%d requests reached a draining server", late)
 	}
-	if n := pool[0].Arrivals(restored, restored.Add(returnedFor)); n > 0 {
-		t.Errorf("%d requests reached a server that had announced that it drains before the return", n)
+	if n := pool[0].Arrivals(restored, restored.Add(observationTime)); n > 0 {
+		t.Errorf("%d requests reached a server that had announced before the restore that it drains", n)
 	}
-	w.is.Equal(len(got), 1)
+	p.is.Equal(len(got), 1)
 }
 
-// members returns how many routers a router takes for live, itself included.
-func (r *router) members() string {
+// memberCount returns how many routers a router considers live, itself included; "" if it can't be read.
+func (r *router) memberCount() string {
 	resp, err := http.Get("http://" + r.admin + "/metrics")
 	if err != nil {
 		return ""
@@ -72,85 +67,86 @@
 	return ""
 }
 
-// peerKey is where the platform keeps the key that all routers share.
+// peerKey is the store's key of the peer key, which all routers share.
 const peerKey = "tamarindstep/peer-key"
 
-// areMembers tells whether each router takes so many for live.
-func (w *world) areMembers(n string) bool {
-	for _, r := range w.routers {
-		if r.members() != n {
+// allReportMembers reports whether each router considers n routers live.
+func (p *platform) allReportMembers(n string) bool {
+	for _, r := range p.routers {
+		if r.memberCount() != n {
 			return false
 		}
 	}
 	return true
 }
 
-// announceAll lets the usual backend servers write their entries again.
-func (w *world) announceAll() {
-	for _, b := range append(w.engines, w.services...) {
+// announceAll makes the usual backend servers write their entries again.
+func (p *platform) announceAll() {
+	for _, b := range append(p.engines, p.services...) {
 		b.Announce("ready")
 	}
 }
 
-func TestPlatformRoutersAreOneFleetAfterAReturn(t *testing.T) {
+func TestPlatformRoutersFormOneFleetAfterStoreRestore(t *testing.T) {
 	for _, c := range []struct{ name, other string }{
-		{"the key is gone", ""}, {"another key is there", "ANOTHERKEYTHATAROUTERMADE"},
+		{"the key is missing", ""}, {"another key is stored", "ANOTHERKEYTHATAROUTERMADE"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, 3)
-			await(t, "three routers are one fleet", func() bool { return w.areMembers("3") })
+			p := newPlatform(t, 3)
+			await(t, "each router counts three members", func() bool { return p.allReportMembers("3") })
 			time.Sleep(2 * time.Second) // until they watch the store
-			w.store.Restore(w.store.RevisionOf(peerKey) - 1)
-			w.announceAll()
+			p.store.Restore(p.store.RevisionOf(peerKey) - 1)
+			p.announceAll()
 			if c.other != "" {
-				w.store.Put(peerKey, []byte(c.other))
+				p.store.Put(peerKey, []byte(c.other))
 			}
-			w.routers = append(w.routers, w.start(3))
-			w.awaitReady(w.routers[3])
-			await(t, "four routers are one fleet", func() bool { return w.areMembers("4") })
-			await(t, "all four are listed", func() bool { return len(w.store.Keys("tamarindstep/routers/")) == 4 })
+			p.routers = append(p.routers, p.start(3))
+			p.awaitReady(p.routers[3])
+			await(t, "each router counts four members", func() bool { return p.allReportMembers("4") })
+			await(t, "all four are listed", func() bool { return len(p.store.Keys("tamarindstep/routers/")) == 4 })
 		})
 	}
 }
 
-func TestPlatformEvacuationsOutliveAReturn(t *testing.T) {
-	t.Run("evacuated since the copy", func(t *testing.T) {
-		evacuationOutlivesAReturn(t, true, func(w *world) { w.store.Evacuate(hallA, "{}") }, func(w *world) { w.store.TakeBack(hallA) })
+func TestPlatformEvacuationsSurviveStoreRestore(t *testing.T) {
+	t.Run("evacuated after the copy", func(t *testing.T) {
+		testEvacuationAfterRestore(t, true, func(p *platform) { p.store.Evacuate(hallA, "{}") }, func(p *platform) { p.store.TakeBack(hallA) })
 	})
-	t.Run("taken back since the copy", func(t *testing.T) {
-		evacuationOutlivesAReturn(t, false, func(w *world) { w.store.TakeBack(hallA) }, func(w *world) { w.store.Evacuate(hallA, "{}") })
+	t.Run("taken back after the copy", func(t *testing.T) {
+		testEvacuationAfterRestore(t, false, func(p *platform) { p.store.TakeBack(hallA) }, func(p *platform) { p.store.Evacuate(hallA, "{}") })
 	})
 }
 
-// evacuationOutlivesAReturn makes a change of the evacuations, lets the store come back without it, and undoes it later.
-func evacuationOutlivesAReturn(t *testing.T, evacuated bool, change, undo func(*world)) {
-	w := newWorld(t, 3)
-	w.secondHall()
-	undo(w)
+// testEvacuationAfterRestore changes the evacuations, restores the store to a revision before the change, checks that the
+// change stays in force, and undoes it.
+func testEvacuationAfterRestore(t *testing.T, evacuated bool, change, undo func(*platform)) {
+	p := newPlatform(t, 3)
+	p.addSecondHall()
+	undo(p)
 	time.Sleep(2 * time.Second) // until they watch the store
-	copied := w.store.Revision()
-	w.write(60)
-	change(w)
-	isInForce := func(r *router) bool { return (w.lookNear(r) == 0) == evacuated }
-	for _, r := range w.routers {
+	revision := p.store.Revision()
+	p.addRevisions(60)
+	change(p)
+	isInForce := func(r *router) bool { return (p.runsInHallA(r) == 0) == evacuated }
+	for _, r := range p.routers {
 		await(t, "the change is in force at "+r.name, func() bool { return isInForce(r) })
 	}
-	w.store.Restore(copied)
-	w.announceAll()
-	for end := time.Now().Add(returnedFor); time.Now().Before(end); {
-		for _, r := range w.routers {
+	p.store.Restore(revision)
+	p.announceAll()
+	for end := time.Now().Add(observationTime); time.Now().Before(end); {
+		for _, r := range p.routers {
 			if !isInForce(r) {
-				t.Fatalf("%s goes back to what the copy says", r.name)
+				t.Fatalf("%s reverts to the evacuations of the copy", r.name)
 			}
 		}
 	}
-	change(w) // the operators write it again
-	time.Sleep(returnedFor)
-	for _, r := range w.routers {
-		w.is.True(isInForce(r))
+	change(p) // as operators do after a restore
+	time.Sleep(observationTime)
+	for _, r := range p.routers {
+		p.is.True(isInForce(r))
 	}
-	undo(w)
-	for _, r := range w.routers {
-		await(t, "a change after the return is in force at "+r.name, func() bool { return !isInForce(r) })
+	undo(p)
+	for _, r := range p.routers {
+		await(t, "a change after the restore is in force at "+r.name, func() bool { return !isInForce(r) })
 	}
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/tamarindstep/tamarindstep/internal/standin/users"
 )
 
-// The soak runs for a few seconds in CI with a fixed seed; by hand with others:
+// The soak tests run for a few seconds with a fixed seed in CI, and with other seeds by hand:
 //
 //	go test ./e2e -run TestSoak -soak.seed 7 -soak.seeds 50 -soak.seconds 20
 var (
@@ -22,46 +22,46 @@
 	soakSeconds = flag.Int("soak.seconds", 6, "how long each is run")
 )
 
-// soak is a fleet under faults that are drawn, with what its callers saw.
+// soak is a fleet under random faults, with the results of its callers.
 type soak struct {
-	*world
-	random *rand.Rand
-	paused map[int]bool
-	spare  int // number of the next backend server
-	// returns lets the store come back from copies as well, no older than the floor, and backend servers speak of themselves.
-	returns bool
-	floor   int64
-	// bursts lets crowds of one account come to one router at the same moment.
+	*platform
+	random    *rand.Rand
+	paused    map[int]bool
+	lastSpare int // number of the last backend server that replaced another
+	// restores adds restores of the store to earlier revisions, from oldestRevision on, and backend servers that announce
+	// in their answers that they leave or need rest.
+	restores       bool
+	oldestRevision int64
+	// bursts adds bursts: many callers of one account that send to one router at the same moment.
 	bursts bool
 
-	crowd  int // number of the last crowd
-	crowds sync.WaitGroup
+	lastBurst  int // number of the last burst
+	burstCalls sync.WaitGroup
 
-	causes causes
-	sizes  []int // of answers
+	faultLog faultLog
+	sizes    []int // of answers
 
-	mu   sync.Mutex
-	seen []seen
+	mu      sync.Mutex
+	results []result
 }
 
-// seen is a request with what its caller got for it.
-type seen struct {
+// result is a request and its answer.
+type result struct {
 	request users.Request
 	answer  users.Answer
 
-	// Of a request on a connection that lives:
-	on          *router
-	began, over time.Time
-	left        bool // by its caller
+	// Set for requests on persistent connections only:
+	router       *router
+	began, ended time.Time
+	aborted      bool // by the caller
 }
 
-const soakCrowd = 60 // callers that come at the same moment
+const burstSize = 60 // callers that send at the same moment
 
-// TestSoak lets faults come from outside, in series and one over another, and
-// checks from what callers and backend servers saw that a request which may not be
-// repeated runs at most once, that none is refused as not run and run, that a
-// success is whole and the caller's own, that each connection that broke off has a cause
-// among the faults, and that nothing is left once the callers have gone.
+// TestSoak injects random faults, in sequence and overlapping, and checks the results of callers against the runs of
+// backend servers: a request that may not be repeated runs at most once, a request refused as not run hasn't run, a
+// successful answer is complete and belongs to its request, each broken connection is explained by a fault, and no
+// connection or goroutine remains after the last caller.
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestSoakBursts draws more: crowds of callers of one account that come to one router at the same moment, with requests
-// of many sizes, while faults come and go.
+// TestSoakBursts adds bursts: many callers of one account send requests of various sizes to one router at the same
+// moment, during other faults.
 func TestSoakBursts(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
@@ -78,64 +78,67 @@
 	}
 }
 
-// TestSoakReturns draws more: a store that comes back from copies of some seconds ago, in series and while it is out, while
-// routers start and are paused, and backend servers that leave or want rest by their own word. In the end the routers are one fleet.
+// TestSoakReturns adds restores of the store from copies a few seconds old, repeatedly and during outages, while routers
+// start and are paused, and backend servers that announce in their answers that they leave or need rest. In the end all
+// routers must be members of one fleet.
 func TestSoakReturns(t *testing.T) {
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
-		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { (&soak{returns: true}).run(t, seed) })
+		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { (&soak{restores: true}).run(t, seed) })
 	}
 }
 
 func (s *soak) run(t *testing.T, seed uint64) {
-	s.world, s.random, s.paused = newWorld(t, 3, s.flags()...), rand.New(rand.NewPCG(seed, 1)), map[int]bool{}
+	s.platform, s.random, s.paused = newPlatform(t, 3, s.flags()...), rand.New(rand.NewPCG(seed, 1)), map[int]bool{}
 	s.engines = append(s.engines, s.backendIn("engine-run-b", "engines", hallB))
 	s.services = append(s.services, s.backendIn("service-run-b", "entries", hallB))
 	s.behave(s.engines, users.Behaviour{Events: 20, Gap: 2 * time.Millisecond})
 	s.behave(s.services, users.Behaviour{Gap: time.Millisecond})
-	s.floor = s.store.RevisionOf(peerKey) - 1
-	s.sizes = sizesAround(t)
-	quiet := goroutines(t, s.routers[0])
-	s.rest()
+	s.oldestRevision = s.store.RevisionOf(peerKey) - 1
+	s.sizes = bufferSizes(t)
+	baseline := goroutines(t, s.routers[0])
+	s.changeIdleLimit()
 	for _, r := range s.routers {
-		s.causes.listens(r)
+		s.faultLog.recordReached(r)
 	}
 	until := time.Now().Add(time.Duration(*soakSeconds) * time.Second)
 	var callers sync.WaitGroup
 	for n := range soakConnections {
-		callers.Go(func() { (&livingCaller{soak: s, n: n, random: rand.New(rand.NewPCG(seed, uint64(n)+2))}).live(until) })
+		callers.Go(func() {
+			(&persistentCaller{soak: s, n: n, random: rand.New(rand.NewPCG(seed, uint64(n)+2))}).run(until)
+		})
 	}
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(50+s.random.IntN(400)) * time.Millisecond)
-		s.fault()
+		s.injectFault()
 	}
-	s.heal() // first, as callers of a paused router wait for it
+	s.clearFaults() // before waiting, as callers wait for paused routers
 	callers.Wait()
-	s.crowds.Wait()
-	s.check()
-	s.checkBreaks()
-	s.checkLeftovers(quiet)
-	if s.returns {
-		for _, door := range s.doors {
-			door.Open() // a router that has started meanwhile waits for the key
+	s.burstCalls.Wait()
+	s.checkResults()
+	s.checkBrokenConnections()
+	s.checkLeftovers(baseline)
+	if s.restores {
+		for _, proxy := range s.storeProxies {
+			proxy.Open() // a router started meanwhile waits for the peer key
 		}
-		await(t, "the routers are one fleet", func() bool { return s.areMembers("3") })
+		await(t, "each router counts three members", func() bool { return s.allReportMembers("3") })
 	}
 }
 
-// flags returns those of the routers, beside the usual ones: crowds press upon small ones.
+// flags returns the additional flags of the routers. With bursts the routers are small, so that bursts overload them.
 func (s *soak) flags() []string {
-	out := []string{"--caller-stall-seconds", fmt.Sprint(soakStall.Seconds())}
+	out := []string{"--caller-stall-seconds", fmt.Sprint(soakStallLimit.Seconds())}
 	if s.bursts {
 		out = append(out, "--processor", "0.2")
 	}
 	return out
 }
 
-// fault draws a fault and lets it come.
-func (s *soak) fault() {
-	if s.returns && s.random.IntN(3) == 0 {
-		s.comeBack()
+// injectFault injects a random fault.
+func (s *soak) injectFault() {
+	if s.restores && s.random.IntN(3) == 0 {
+		s.restoreStore()
 		return
 	}
 	i := s.random.IntN(len(s.routers))
@@ -151,12 +154,12 @@
 	case 2:
 		s.pause(i)
 	case 3:
-		s.causes.lag()
-		s.doors[i].Shut()
+		s.faultLog.recordConfigurationDelay()
+		s.storeProxies[i].Shut()
 	case 4:
-		s.doors[i].Open()
+		s.storeProxies[i].Open()
 	case 5:
-		s.causes.lag()
+		s.faultLog.recordConfigurationDelay()
 		s.store.SetDown(s.random.IntN(2) == 0)
 	case 6:
 		s.misbehave(s.services)
@@ -165,46 +168,47 @@
 	case 8:
 		s.replaceBackend()
 	case 9:
-		s.store.Evacuate(s.drawHall(), "{}")
+		s.store.Evacuate(s.randomHall(), "{}")
 	case 10:
-		s.store.TakeBack(s.drawHall())
+		s.store.TakeBack(s.randomHall())
 	case 11:
-		s.chill()
+		s.toggleCold()
 	case 12:
-		s.rest()
+		s.changeIdleLimit()
 	}
 }
 
-// burst lets a crowd come to a router, some of whom send a large body.
+// burst sends burstSize requests to a router at the same moment, some with a large body.
 func (s *soak) burst(i int) {
-	s.crowd++
+	s.lastBurst++
 	to := s.routers[i].callers
-	for n := range soakCrowd {
+	for n := range burstSize {
 		path := []string{"/claim/1", "/look/1", "/chat/1"}[s.random.IntN(3)]
 		r := users.Request{
-			Method: "POST", Path: path, Key: callerKey, ID: fmt.Sprintf("crowd-%d-%d", s.crowd, n),
+			Method: "POST", Path: path, Key: callerKey, ID: fmt.Sprintf("crowd-%d-%d", s.lastBurst, n),
 			Body: strings.Repeat("x", s.random.IntN(60_000)), TimeLeft: 2 * time.Second,
 		}
-		s.crowds.Go(func() { s.ask(to, r) })
+		s.burstCalls.Go(func() { s.call(to, r) })
 	}
 }
 
-// ask sends a request to a router, and keeps what came of it.
-func (s *soak) ask(to string, r users.Request) {
+// call sends a request to a router and stores the result.
+func (s *soak) call(to string, r users.Request) {
 	got := users.Call(to, r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = append(s.seen, seen{request: r, answer: got})
+	s.results = append(s.results, result{request: r, answer: got})
 }
 
-// comeBack lets the store come back from a copy, and the backend servers write their entries again, all or some of them.
-func (s *soak) comeBack() {
-	s.causes.lag()
-	copied := s.floor // older than the key that the routers share
+// restoreStore restores the store to an earlier revision, after which a random part of the backend servers write their
+// entries again.
+func (s *soak) restoreStore() {
+	s.faultLog.recordConfigurationDelay()
+	revision := s.oldestRevision // older than the shared peer key
 	if s.random.IntN(4) > 0 {
-		copied = max(s.store.Revision()-int64(s.random.IntN(60)), s.floor)
+		revision = max(s.store.Revision()-int64(s.random.IntN(60)), s.oldestRevision)
 	}
-	s.store.Restore(copied)
+	s.store.Restore(revision)
 	if s.random.IntN(3) == 0 {
 		s.misbehave(s.services)
 	}
@@ -215,26 +219,26 @@
 	}
 }
 
-func (s *soak) drawHall() string { return []string{hallA, hallB}[s.random.IntN(2)] }
+func (s *soak) randomHall() string { return []string{hallA, hallB}[s.random.IntN(2)] }
 
-// chill lets one of the engines become cold, or end it.
-func (s *soak) chill() {
+// toggleCold makes a random engine announce that it is cold, or no longer cold.
+func (s *soak) toggleCold() {
 	b := s.engines[s.random.IntN(len(s.engines))]
 	b.Cold = time.Duration(s.random.IntN(2)) * 3 * time.Second
 	b.Announce("ready")
 }
 
-// replace ends a router by a signal, waits for its end, and starts it anew.
+// replace ends a router by a signal, waits until it has exited, and starts a new process in its place.
 func (s *soak) replace(i int, signal syscall.Signal) {
 	s.resume(i)
 	old := s.routers[i]
-	s.causes.ends(old, signal)
+	s.faultLog.recordStop(old, signal)
 	_ = old.cmd.Process.Signal(signal)
 	<-old.exited
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.routers[i] = s.start(i)
-	s.doors[i] = s.doors[len(s.doors)-1]
+	s.storeProxies[i] = s.storeProxies[len(s.storeProxies)-1]
 }
 
 func (s *soak) pause(i int) {
@@ -243,27 +247,27 @@
 		return
 	}
 	s.paused[i] = true
-	s.causes.pauses(s.routers[i])
+	s.faultLog.recordPause(s.routers[i])
 	_ = s.routers[i].cmd.Process.Signal(syscall.SIGSTOP)
 }
 
 func (s *soak) resume(i int) {
-	s.causes.resumes(s.routers[i])
+	s.faultLog.recordResume(s.routers[i])
 	_ = s.routers[i].cmd.Process.Signal(syscall.SIGCONT)
 	s.paused[i] = false
 }
 
-// misbehave lets one of the backend servers misbehave, or be well again.
+// misbehave gives a random backend server a random behaviour, faulty or normal.
 func (s *soak) misbehave(backends []*users.Backend) {
 	ways := []users.Behaviour{
 		{}, {Drop: true}, {Reject: true}, {Surplus: true}, {Early: true}, {Unframed: true},
 		{Unframed: true, Reset: true}, {CutAfter: 7, CutInside: true}, {Status: 500}, {Nameless: true},
 	}
-	if s.returns {
+	if s.restores {
 		ways = append(ways, users.Behaviour{Leaving: true}, users.Behaviour{Rest: "0.4"}, users.Behaviour{Rest: "soon"}, users.Behaviour{Surplus: true, Misled: true})
 	}
 	x := ways[s.random.IntN(len(ways))]
-	s.causes.misbehaves()
+	s.faultLog.recordMisbehaviour()
 	x.Gap = 2 * time.Millisecond
 	if backends[0].Pool == "engines" {
 		x.Events = 20
@@ -271,16 +275,16 @@
 	backends[s.random.IntN(len(backends))].Behave(x)
 }
 
-// replaceBackend announces that a backend server leaves and starts another.
+// replaceBackend announces that a backend server drains, and starts another one.
 func (s *soak) replaceBackend() {
-	s.spare++
+	s.lastSpare++
 	old := s.services[s.random.IntN(len(s.services))]
 	old.Announce("draining")
-	s.services = append(s.services, s.backend(fmt.Sprintf("service-spare-%d", s.spare), "entries"))
+	s.services = append(s.services, s.backend(fmt.Sprintf("service-spare-%d", s.lastSpare), "entries"))
 }
 
-// heal ends the faults that last, so that every process can be ended.
-func (s *soak) heal() {
+// clearFaults ends the faults that persist: paused routers, the store's outage and evacuations.
+func (s *soak) clearFaults() {
 	for i := range s.routers {
 		s.resume(i)
 	}
@@ -289,17 +293,17 @@
 	s.store.TakeBack(hallB)
 }
 
-// check holds what callers got against what backend servers ran.
-func (s *soak) check() {
+// checkResults checks the results of callers against the runs of backend servers.
+func (s *soak) checkResults() {
 	served := 0
-	for _, x := range s.seen {
+	for _, x := range s.results {
 		runs := s.runsOf(x.request.ID)
 		once := strings.HasPrefix(x.request.Path, "/claim/") || strings.HasPrefix(x.request.Path, "/chat/")
 		if once && len(runs) > 1 {
 			s.t.Errorf("%s %s ran %d times", x.request.ID, x.request.Path, len(runs))
 		}
 		if once && (x.answer.Status == 503 || x.answer.Status == 429) && len(runs) > 0 {
-			s.t.Errorf("%s %s was refused as not run, and ran", x.request.ID, x.request.Path)
+			s.t.Errorf("%s %s was refused as not run, but ran", x.request.ID, x.request.Path)
 		}
 		if x.answer.Status != 200 || x.answer.Err != nil {
 			continue
@@ -307,14 +311,14 @@
 		served++
 		want := users.ShapeOf(x.request.Path).Body()
 		if x.isStream() {
-			want = whole(20)
+			want = completeStream(20)
 		}
 		if x.answer.ID != x.request.ID || x.answer.Body != want {
 			s.t.Errorf("%s %s got the answer to %q: %d bytes, %.200q", x.request.ID, x.request.Path, x.answer.ID, len(x.answer.Body), x.answer.Body)
 		}
 	}
 	if served == 0 {
-		s.t.Error("nothing was served")
+		s.t.Error("no request was served")
 	}
-	s.t.Logf("%d requests, %d served", len(s.seen), served)
+	s.t.Logf("%d requests, %d served", len(s.results), served)
 }
