--- a/emulator/callers.go
+++ b/emulator/callers.go
@@ -8,123 +8,123 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// planNext plans an account's next request of a kind.
-func (w *world) planNext(kind, account int) {
-	hot := w.Load.isHot(account, w.time.Now()-settle-w.WarmUp, w.Length)
-	w.time.At(w.time.Now()+w.source.gap(kind, account, hot), func() {
-		c := w.source.draw(kind, account, w.time.Now())
-		w.calls = append(w.calls, c)
-		w.try(c)
-		w.planNext(kind, account)
+// scheduleNext schedules an account's next request of a kind.
+func (s *simulation) scheduleNext(kind, account int) {
+	hot := s.Load.isHot(account, s.clock.Now()-discoveryPeriod-s.WarmUp, s.Length)
+	s.clock.At(s.clock.Now()+s.generator.interArrival(kind, account, hot), func() {
+		c := s.generator.draw(kind, account, s.clock.Now())
+		s.calls = append(s.calls, c)
+		s.attempt(c)
+		s.scheduleNext(kind, account)
 	})
 }
 
-// try sends a caller's request to a router.
-func (w *world) try(c *call) {
-	c.tries++
-	w.service.ask(w.time.Now(), c)
-	n := w.nodes[w.Load.routerOf(c.account, len(w.nodes), w.random)]
-	k := w.Load.Kinds[c.kind]
-	w.time.At(w.time.Now()+w.CallerLink, func() {
-		if !n.spare.take(w.time.Now()) {
-			w.turnAway(n, c)
+// attempt sends a request to a router.
+func (s *simulation) attempt(c *call) {
+	c.attempts++
+	s.recorder.recordAttempt(s.clock.Now(), c)
+	r := s.routers[s.Load.routerOf(c.account, len(s.routers), s.random)]
+	k := s.Load.Kinds[c.kind]
+	s.clock.At(s.clock.Now()+s.CallerLatency, func() {
+		if !r.processor.take(s.clock.Now()) {
+			s.refuseByHeader(r, c)
 			return
 		}
-		n.nextID++
-		n.calls[n.nextID] = c
-		w.step(n, core.Arrive{
-			ID: n.nextID, Account: model.Account(accountName(c.account)), Pool: model.Pool(poolName),
-			Input: float64(c.prompt.Tokens), Wait: k.Deadline - (w.time.Now() - c.sent),
+		r.nextID++
+		r.calls[r.nextID] = c
+		s.step(r, core.Arrive{
+			ID: r.nextID, Account: model.Account(accountName(c.account)), Pool: model.Pool(poolName),
+			Input: float64(c.prompt.Tokens), Wait: k.Deadline - (s.clock.Now() - c.sentAt),
 			Route: uint32(c.kind), Prompt: c.prompt, Objective: k.Objective,
 		})
 	})
 }
 
-func (w *world) dispatch(n *node, a core.Dispatch) {
-	c := n.calls[a.ID]
-	e := w.engines[a.Backend]
-	k := w.Load.Kinds[c.kind]
+func (s *simulation) dispatch(r *router, a core.Dispatch) {
+	c := r.calls[a.ID]
+	e := s.engines[a.Backend]
+	k := s.Load.Kinds[c.kind]
 	last := model.Time(0)
-	pause := func() {
-		c.broken = c.broken || last > 0 && w.time.Now()-last > k.Pause
-		last = w.time.Now()
+	checkPause := func() {
+		c.stalled = c.stalled || last > 0 && s.clock.Now()-last > k.MaxPause
+		last = s.clock.Now()
 	}
-	c.run = &run{prompt: &c.prompt, output: c.output}
-	c.run.first = func() {
-		pause()
-		c.first = w.time.Now() + w.CallerLink - c.sent
-		w.service.begin(w.time.Now(), c)
-		w.step(n, core.Began{ID: a.ID})
+	c.execution = &execution{prompt: &c.prompt, output: c.output}
+	c.execution.onFirst = func() {
+		checkPause()
+		c.firstToken = s.clock.Now() + s.CallerLatency - c.sentAt
+		s.recorder.recordStart(s.clock.Now(), c)
+		s.step(r, core.Began{ID: a.ID})
 	}
-	c.run.each = func() {
-		pause()
-		w.step(n, core.Progress{ID: a.ID, Output: float64(c.run.made)})
+	c.execution.onProgress = func() {
+		checkPause()
+		s.step(r, core.Progress{ID: a.ID, Output: float64(c.execution.generated)})
 	}
-	c.run.done = func() {
+	c.execution.onDone = func() {
 		c.done = true
-		delete(n.calls, a.ID)
-		w.step(n, core.Finish{ID: a.ID, Output: float64(c.output), Ending: core.Done})
+		delete(r.calls, a.ID)
+		s.step(r, core.Finish{ID: a.ID, Output: float64(c.output), Ending: core.Done})
 	}
-	c.at = e
-	if !e.accept(c.run) {
-		w.time.At(w.time.Now(), func() { w.step(n, core.Finish{ID: a.ID, Ending: core.Rejected}) })
-		w.comeBack(n, a.ID, 0)
+	c.engine = e
+	if !e.accept(c.execution) {
+		s.clock.At(s.clock.Now(), func() { s.step(r, core.Finish{ID: a.ID, Ending: core.Rejected}) })
+		s.dropAndRetry(r, a.ID, 0)
 		return
 	}
-	w.time.At(c.sent+k.Deadline, func() { w.leave(n, a.ID) })
+	s.clock.At(c.sentAt+k.Deadline, func() { s.abandon(r, a.ID) })
 }
 
-// leave lets a caller leave whose time is over.
-func (w *world) leave(n *node, id core.RequestID) {
-	c := n.calls[id]
+// abandon cancels a request whose deadline has passed.
+func (s *simulation) abandon(r *router, id core.RequestID) {
+	c := r.calls[id]
 	if c == nil {
 		return
 	}
-	delete(n.calls, id)
-	c.at.drop(c.run)
-	w.step(n, core.Finish{ID: id, Output: float64(c.run.made), Ending: core.Broken})
+	delete(r.calls, id)
+	c.engine.remove(c.execution)
+	s.step(r, core.Finish{ID: id, Output: float64(c.execution.generated), Ending: core.Broken})
 }
 
-func (w *world) refused(n *node, a core.Refuse) {
-	if c := n.calls[a.ID]; c != nil {
-		w.service.wait(w.time.Now(), c)
+func (s *simulation) handleRefusal(r *router, a core.Refuse) {
+	if c := r.calls[a.ID]; c != nil {
+		s.recorder.recordBacklog(s.clock.Now(), c)
 		if a.Reason == core.Refusal(prompt.OverShare) {
-			w.service.hold(w.time.Now(), c)
+			s.recorder.recordOverShare(s.clock.Now(), c)
 		}
 	}
-	w.comeBack(n, a.ID, a.RetryAfter)
+	s.dropAndRetry(r, a.ID, a.RetryAfter)
 }
 
-// turnedAwayRetry is when a caller is asked back whose request was refused by its header.
-const turnedAwayRetry = 300 * time.Millisecond
+// headerRefusalRetryAfter is the retry delay for a request that was refused by its header.
+const headerRefusalRetryAfter = 300 * time.Millisecond
 
-// turnAway refuses a request that the router's processor isn't enough for.
-func (w *world) turnAway(n *node, c *call) {
-	w.step(n, core.TurnedAway{Requests: []core.Unread{{
+// refuseByHeader refuses a request that exceeds the processing rate of the router.
+func (s *simulation) refuseByHeader(r *router, c *call) {
+	s.step(r, core.TurnedAway{Requests: []core.Unread{{
 		Account: model.Account(accountName(c.account)), Pool: model.Pool(poolName),
 		Route: uint32(c.kind), Prompt: c.prompt,
 	}}})
-	w.service.wait(w.time.Now(), c)
-	w.tryAgain(c, turnedAwayRetry)
+	s.recorder.recordBacklog(s.clock.Now(), c)
+	s.retry(c, headerRefusalRetryAfter)
 }
 
-// comeBack lets a caller that was refused come back where it does.
-func (w *world) comeBack(n *node, id core.RequestID, after time.Duration) {
-	c := n.calls[id]
-	delete(n.calls, id)
+// dropAndRetry removes a refused request from the router and schedules its retry.
+func (s *simulation) dropAndRetry(r *router, id core.RequestID, after time.Duration) {
+	c := r.calls[id]
+	delete(r.calls, id)
 	if c != nil {
-		w.tryAgain(c, after)
+		s.retry(c, after)
 	}
 }
 
-// tryAgain lets a caller come back, unless it has done so often enough or its time is over.
-func (w *world) tryAgain(c *call, after time.Duration) {
-	if c.tries > w.Load.Retries {
+// retry schedules another attempt, unless the retries are used up or the deadline has passed.
+func (s *simulation) retry(c *call, after time.Duration) {
+	if c.attempts > s.Load.Retries {
 		return
 	}
-	left := w.Load.Kinds[c.kind].Deadline - (w.time.Now() - c.sent)
-	if left <= 0 {
+	remaining := s.Load.Kinds[c.kind].Deadline - (s.clock.Now() - c.sentAt)
+	if remaining <= 0 {
 		return
 	}
-	w.time.At(w.time.Now()+min(after, left/callerPatience), func() { w.try(c) })
+	s.clock.At(s.clock.Now()+min(after, remaining/retryDelayDivisor), func() { s.attempt(c) })
 }
--- a/emulator/command.go
+++ b/emulator/command.go
@@ -12,7 +12,7 @@
 	"github.com/tamarindstep/tamarindstep/policy/policies"
 )
 
-// options are the flags of the command.
+// options holds the command's flags.
 type options struct {
 	policies string
 	seeds    int
@@ -55,11 +55,11 @@
 		return err
 	}
 	results := make([]Result, len(experiments))
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, e := range experiments {
-		running.Go(func() { results[i] = Run(e) })
+		wg.Go(func() { results[i] = Run(e) })
 	}
-	running.Wait()
+	wg.Wait()
 	if err := WriteTable(cmd.OutOrStdout(), results); err != nil {
 		return err
 	}
@@ -71,18 +71,18 @@
 
 func (o options) experiments() ([]Experiment, error) {
 	if o.seeds < 1 || o.seconds < 6 || o.routers < 1 || o.engines < 1 || o.factor <= 0 {
-		return nil, fmt.Errorf("--seeds, --routers and --engines are at least 1, --seconds at least 6, --factor above 0")
+		return nil, fmt.Errorf("--seeds, --routers and --engines must be at least 1, --seconds at least 6, --factor above 0")
 	}
 	var out []Experiment
 	for name := range strings.SplitSeq(o.policies, ",") {
 		p := policies.Find(strings.TrimSpace(name))
 		if p == nil {
-			return nil, fmt.Errorf("--policies: there is no policy %q", name)
+			return nil, fmt.Errorf("--policies: unknown policy %q", name)
 		}
 		for seed := range o.seeds {
 			e := Default(p)
 			e.Seed = uint64(seed + 1)
-			e.Load.Hot, e.Load.Factor = o.hot, o.factor
+			e.Load.HotAccounts, e.Load.Factor = o.hot, o.factor
 			e.Length = time.Duration(o.seconds) * time.Second
 			e.Routers, e.Engines = o.routers, o.engines
 			out = append(out, e)
--- a/emulator/emulator.go
+++ b/emulator/emulator.go
@@ -1,12 +1,9 @@
-// Package emulator runs the decisions of a whole fleet of routers, the real
-// package core, before emulated engines and callers, under virtual time. The
-// same experiment gives the same figures at every run.
+// Package emulator runs the real decision code of a fleet of routers (package core) with emulated engines and callers
+// under virtual time. The same experiment always gives the same results.
 //
-// An engine is its batch, the reading of prompts between the tokens of others,
-// and the memory of parts that gives way to newer ones. What routers tell each
-// other takes the time of the link. Left out are connections, the platform's
-// store, and faults other than overload: the fleet is listed from the start and
-// its configuration doesn't change.
+// An engine is modeled by its batch, prefill interleaved with token generation, and a prefix cache with LRU eviction.
+// Messages between routers are delayed by the network latency. Connections, the platform's store, and faults other
+// than overload are not modeled: the list of routers is complete from the start and the configuration doesn't change.
 package emulator
 
 import (
@@ -24,172 +21,172 @@
 	"github.com/tamarindstep/tamarindstep/wire"
 )
 
-// Experiment is what is run.
+// Experiment holds the parameters of a run.
 type Experiment struct {
-	Policy  *policy.Policy
-	Routers int
-	Engines int
-	Halls   int
-	Engine  Engine
-	Load    Load
-	// TokensPerSecond is what the engines are said to make, 0 for not said.
+	Policy    *policy.Policy
+	Routers   int
+	Engines   int
+	DataHalls int
+	Engine    Engine
+	Load      Load
+	// TokensPerSecond is the configured capacity of the engines, 0 for none.
 	TokensPerSecond float64
-	// LoadsBytes is what a router is told of the others' requests in bytes a second, 0 for
+	// LoadReportBytesPerSecond limits the load reports that a router receives from the others, 0 for
 	// core.DefaultLoadsBytes.
-	LoadsBytes float64
-	// Decides is how many requests a second the processor of a router is enough for, 0 for no
-	// bound; what comes beyond that is refused by its header.
-	Decides    float64
-	Link       time.Duration // one way between two routers
-	CallerLink time.Duration // one way between a caller and a router
-	WarmUp     time.Duration // before requests count
-	Length     time.Duration
-	Seed       uint64
+	LoadReportBytesPerSecond float64
+	// DecisionsPerSecond is the rate of requests that a router can process, 0 for no limit; requests beyond it are
+	// refused by their header.
+	DecisionsPerSecond float64
+	RouterLatency      time.Duration // one way, between two routers
+	CallerLatency      time.Duration // one way, between a caller and a router
+	WarmUp             time.Duration // requests sent before its end are not counted
+	Length             time.Duration
+	Seed               uint64
 }
 
-// Default is a fleet of the size the users have today.
+// Default returns an experiment with a fleet of the size of the current deployment.
 func Default(p *policy.Policy) Experiment {
 	return Experiment{
-		Policy: p, Routers: 9, Engines: 9, Halls: 3, Engine: DefaultEngine, Load: DefaultLoad,
-		TokensPerSecond: 290_000, Link: 500 * time.Microsecond, CallerLink: time.Millisecond,
+		Policy: p, Routers: 9, Engines: 9, DataHalls: 3, Engine: DefaultEngine, Load: DefaultLoad,
+		TokensPerSecond: 290_000, RouterLatency: 500 * time.Microsecond, CallerLatency: time.Millisecond,
 		WarmUp: 5 * time.Second, Length: 30 * time.Second, Seed: 1,
 	}
 }
 
 const (
 	poolName = "assistant"
-	// settle is how long the routers have to find each other.
-	settle = 5 * time.Second
-	// callerPatience is the part of its deadline for which a refused caller
-	// waits at the most before it comes back.
-	callerPatience = 3
+	// discoveryPeriod is the time given to the routers to discover each other.
+	discoveryPeriod = 5 * time.Second
+	// retryDelayDivisor limits the retry delay of a refused caller: it is at most the time left until the deadline
+	// divided by this.
+	retryDelayDivisor = 3
 )
 
-// node is one router.
-type node struct {
-	name   string
-	core   *core.Core
-	wakeAt model.Time
-	calls  map[core.RequestID]*call
-	nextID core.RequestID
-	spare  processor
+// router is one emulated router.
+type router struct {
+	name      string
+	core      *core.Core
+	wakeAt    model.Time
+	calls     map[core.RequestID]*call
+	nextID    core.RequestID
+	processor tokenBucket
 }
 
-// world is an experiment under way.
-type world struct {
+// simulation is a running experiment.
+type simulation struct {
 	Experiment
-	time    eventqueue.Queue
-	source  *source
-	random  *rand.Rand
-	nodes   []*node
-	byName  map[string]*node
-	engines map[model.BackendID]*engine
-	calls   []*call
-	bytes   int64
-	service *service
+	clock         eventqueue.Queue
+	generator     *generator
+	random        *rand.Rand
+	routers       []*router
+	routersByName map[string]*router
+	engines       map[model.BackendID]*engine
+	calls         []*call
+	sentBytes     int64
+	recorder      *serviceRecorder
 }
 
-// Run runs an experiment and returns its figures.
+// Run runs an experiment and returns its results.
 func Run(e Experiment) Result {
 	random := rand.New(rand.NewPCG(e.Seed, 1))
-	w := &world{
-		Experiment: e, random: random, source: newSource(e.Load, random),
-		byName: map[string]*node{}, engines: map[model.BackendID]*engine{},
-		service: newService(e.Load),
+	s := &simulation{
+		Experiment: e, random: random, generator: newGenerator(e.Load, random),
+		routersByName: map[string]*router{}, engines: map[model.BackendID]*engine{},
+		recorder: newServiceRecorder(e.Load),
 	}
-	w.build()
-	w.time.Run(settle)
+	s.build()
+	s.clock.Run(discoveryPeriod)
 	for kind := range e.Load.Kinds {
 		for account := range e.Load.Accounts {
-			w.planNext(kind, account)
+			s.scheduleNext(kind, account)
 		}
 	}
-	w.time.Run(settle + e.WarmUp + e.Length)
-	return w.result()
+	s.clock.Run(discoveryPeriod + e.WarmUp + e.Length)
+	return s.result()
 }
 
 // build starts the routers and the engines.
-func (w *world) build() {
-	config := w.config()
+func (s *simulation) build() {
+	config := s.config()
 	var listed []member.Listed
-	for i := range w.Routers {
-		listed = append(listed, member.Listed{Name: fmt.Sprintf("router-%d", i), Address: fmt.Sprintf("router-%d", i), DataHall: w.hall(i)})
+	for i := range s.Routers {
+		listed = append(listed, member.Listed{Name: fmt.Sprintf("router-%d", i), Address: fmt.Sprintf("router-%d", i), DataHall: s.dataHall(i)})
 	}
 	for i, l := range listed {
 		self := member.Member{Name: l.Name, Address: l.Address, DataHall: l.DataHall, Boot: uint64(i + 1)}
-		n := &node{name: l.Name, spare: processor{rate: w.Decides}, core: core.New(0, self, w.Seed+uint64(i)), calls: map[core.RequestID]*call{}}
-		if w.LoadsBytes > 0 {
-			n.core.LimitLoads(w.LoadsBytes)
+		r := &router{name: l.Name, processor: tokenBucket{rate: s.DecisionsPerSecond}, core: core.New(0, self, s.Seed+uint64(i)), calls: map[core.RequestID]*call{}}
+		if s.LoadReportBytesPerSecond > 0 {
+			r.core.LimitLoads(s.LoadReportBytesPerSecond)
 		}
-		w.nodes = append(w.nodes, n)
-		w.byName[n.name] = n
+		s.routers = append(s.routers, r)
+		s.routersByName[r.name] = r
 	}
-	for _, n := range w.nodes {
-		w.step(n, core.Configure{Config: config})
-		w.step(n, core.Routers{Listed: listed})
+	for _, r := range s.routers {
+		s.step(r, core.Configure{Config: config})
+		s.step(r, core.Routers{Listed: listed})
 	}
 }
 
-func (w *world) hall(i int) string { return fmt.Sprintf("hall-%d", i%max(w.Halls, 1)) }
+func (s *simulation) dataHall(i int) string { return fmt.Sprintf("hall-%d", i%max(s.DataHalls, 1)) }
 
-func (w *world) config() *core.Config {
+func (s *simulation) config() *core.Config {
 	out := &core.Config{
-		Generation: 1, Policy: w.Policy, TokensPerSecond: w.TokensPerSecond,
+		Generation: 1, Policy: s.Policy, TokensPerSecond: s.TokensPerSecond,
 		Accounts: map[model.AccountID]core.Account{}, Backends: map[model.BackendID]core.Backend{},
 		Pools: map[model.PoolID]core.Pool{
-			model.Pool(poolName): {Name: poolName, FollowLoad: true, MemoryTokens: w.Engine.Memory},
+			model.Pool(poolName): {Name: poolName, FollowLoad: true, MemoryTokens: s.Engine.MemoryTokens},
 		},
 	}
-	for i := range w.Load.Accounts {
+	for i := range s.Load.Accounts {
 		out.Accounts[model.Account(accountName(i))] = core.Account{Name: accountName(i), Weight: 1}
 	}
-	for i := range w.Engines {
+	for i := range s.Engines {
 		name := fmt.Sprintf("engine-%d", i)
 		out.Backends[model.Backend(name)] = core.Backend{
-			Name: name, Pool: model.Pool(poolName), DataHall: w.hall(i), Slots: w.Engine.Slots,
+			Name: name, Pool: model.Pool(poolName), DataHall: s.dataHall(i), Slots: s.Engine.Slots,
 		}
-		w.engines[model.Backend(name)] = newEngine(w.Engine, &w.time)
+		s.engines[model.Backend(name)] = newEngine(s.Engine, &s.clock)
 	}
 	return out
 }
 
 func accountName(i int) string { return fmt.Sprintf("account-%d", i) }
 
-// step gives a router an event and carries out what it decides.
-func (w *world) step(n *node, e core.Event) {
-	for _, a := range n.core.Step(w.time.Now(), e) {
-		w.act(n, a)
+// step passes an event to a router and executes the resulting actions.
+func (s *simulation) step(r *router, e core.Event) {
+	for _, a := range r.core.Step(s.clock.Now(), e) {
+		s.execute(r, a)
 	}
-	w.planWake(n)
+	s.scheduleWake(r)
 }
 
-func (w *world) planWake(n *node) {
-	wake := n.core.Wake()
-	if n.wakeAt > w.time.Now() && n.wakeAt <= wake {
+func (s *simulation) scheduleWake(r *router) {
+	wake := r.core.Wake()
+	if r.wakeAt > s.clock.Now() && r.wakeAt <= wake {
 		return
 	}
-	n.wakeAt = wake
-	w.time.At(wake, func() {
-		if n.wakeAt == wake {
-			w.step(n, core.Tick{})
+	r.wakeAt = wake
+	s.clock.At(wake, func() {
+		if r.wakeAt == wake {
+			s.step(r, core.Tick{})
 		}
 	})
 }
 
-func (w *world) act(n *node, a core.Action) {
+func (s *simulation) execute(r *router, a core.Action) {
 	switch a := a.(type) {
 	case core.Send:
-		w.send(a)
+		s.send(a)
 	case core.Dispatch:
-		w.dispatch(n, a)
+		s.dispatch(r, a)
 	case core.Refuse:
-		w.refused(n, a)
+		s.handleRefusal(r, a)
 	}
 }
 
-func (w *world) send(a core.Send) {
-	to := w.byName[a.To]
+func (s *simulation) send(a core.Send) {
+	to := s.routersByName[a.To]
 	d := proto.Clone(a.Datagram).(*wire.Datagram)
-	w.bytes += int64(proto.Size(d))
-	w.time.At(w.time.Now()+w.Link, func() { w.step(to, core.Receive{Datagram: d}) })
+	s.sentBytes += int64(proto.Size(d))
+	s.clock.At(s.clock.Now()+s.RouterLatency, func() { s.step(to, core.Receive{Datagram: d}) })
 }
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -15,70 +15,68 @@
 	"github.com/tamarindstep/tamarindstep/policy/policies"
 )
 
-func short(policy string) Experiment {
+func shortExperiment(policy string) Experiment {
 	e := Default(policies.Find(policy))
 	e.WarmUp, e.Length = 2*time.Second, 8*time.Second
 	return e
 }
 
-func TestTheSameExperimentGivesTheSameFigures(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	a, b := Run(short("prompt-affinity")), Run(short("prompt-affinity"))
+	a, b := Run(shortExperiment("prompt-affinity")), Run(shortExperiment("prompt-affinity"))
 	is.Equal(a, b)
-	other := short("prompt-affinity")
+	other := shortExperiment("prompt-affinity")
 	other.Seed = 2
 	is.True(Run(other).Requests != a.Requests || Run(other).Median != a.Median)
 }
 
-// TestAffinityKeepsPrompts compares policies on the same load, from engines that
-// have read nothing yet: sending prompts where they have been read must save at
-// least a third of the reading.
-func TestAffinityKeepsPrompts(t *testing.T) {
+// TestAffinityReducesPrefill compares policies under the same load, starting with empty prefix caches: routing
+// prompts to engines that have them cached must save at least a third of the prefill.
+func TestAffinityReducesPrefill(t *testing.T) {
 	is := is.New(t)
-	affinity, least := Run(short("prompt-affinity")), Run(short("least-loaded"))
-	is.True(affinity.Read*3 < least.Read*2)
-	is.True(affinity.InTime > 2*least.InTime)
+	affinity, leastLoaded := Run(shortExperiment("prompt-affinity")), Run(shortExperiment("least-loaded"))
+	is.True(affinity.PrefillTokens*3 < leastLoaded.PrefillTokens*2)
+	is.True(affinity.InTime > 2*leastLoaded.InTime)
 }
 
-// TestOverloadStaysFair lets some accounts send many times their usual, long enough
-// for the engines to have read what is shared: the small ones, which ask for less
-// than an even part, are served nearly as on a calm day.
-func TestOverloadStaysFair(t *testing.T) {
+// TestFairnessUnderOverload raises the load of some accounts far above normal, for long enough to fill the prefix
+// caches: the small accounts, which request less than an equal share, are served nearly as under normal load.
+func TestFairnessUnderOverload(t *testing.T) {
 	is := is.New(t)
 	e := Default(policies.Find("prompt-affinity"))
-	e.Load.Hot, e.Load.Factor = 4, 1.5
+	e.Load.HotAccounts, e.Load.Factor = 4, 1.5
 	r := Run(e)
 	is.True(r.WorstAccount > 0.7)
 	is.True(r.WorstAccount > 1.4*r.InTime)
 	is.True(r.InTime > 0.4)
-	is.True(r.Late < r.InTime) // most of what can't be in time is refused
+	is.True(r.Late < r.InTime) // most requests that can't meet their objective are refused
 }
 
-func TestEngineReadsPromptsOnce(t *testing.T) {
+func TestEngineCachesPrompts(t *testing.T) {
 	is := is.New(t)
-	var time eventqueue.Queue
-	shape := DefaultEngine
-	shape.Memory = 10_000
-	e := newEngine(shape, &time)
-	var begun []model.Time
-	ask := func(own uint64) {
-		r := &run{prompt: &model.Prompt{Tokens: 5000, Parts: []model.Part{{ID: 1, Tokens: 4000}, {ID: own, Tokens: 1000}}}, output: 2}
-		r.first = func() { begun = append(begun, time.Now()) }
-		r.each, r.done = func() {}, func() {}
+	var clock eventqueue.Queue
+	settings := DefaultEngine
+	settings.MemoryTokens = 10_000
+	e := newEngine(settings, &clock)
+	var started []model.Time
+	submit := func(own uint64) {
+		r := &execution{prompt: &model.Prompt{Tokens: 5000, Parts: []model.Part{{ID: 1, Tokens: 4000}, {ID: own, Tokens: 1000}}}, output: 2}
+		r.onFirst = func() { started = append(started, clock.Now()) }
+		r.onProgress, r.onDone = func() {}, func() {}
 		is.True(e.accept(r))
-		time.Run(time.Now() + 1_000_000_000)
+		clock.Run(clock.Now() + 1_000_000_000)
 	}
-	ask(2)
-	is.Equal(e.read, 5000)
-	ask(3)
-	is.Equal(e.read, 6000) // the shared part is kept
-	is.True(begun[1]-1_000_000_000 < begun[0])
+	submit(2)
+	is.Equal(e.prefillTokens, 5000)
+	submit(3)
+	is.Equal(e.prefillTokens, 6000) // the shared part is cached
+	is.True(started[1]-1_000_000_000 < started[0])
 	for own := uint64(10); own < 20; own++ {
-		e.keep(&model.Prompt{Parts: []model.Part{{ID: own, Tokens: 1000}}})
+		e.cachePrompt(&model.Prompt{Parts: []model.Part{{ID: own, Tokens: 1000}}})
 	}
-	ask(4) // by then other parts have taken its place
-	is.Equal(e.read, 11_000)
-	is.Equal(e.reread, 4000)
+	submit(4) // by now the shared part has been evicted
+	is.Equal(e.prefillTokens, 11_000)
+	is.Equal(e.recomputedTokens, 4000)
 }
 
 func TestCommand(t *testing.T) {
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -8,211 +8,209 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Engine is how a model engine runs its batch.
+// Engine holds the parameters of a model engine.
 type Engine struct {
-	Slots     int           // requests in a batch
-	Queue     int           // requests that wait beyond that
-	Memory    int           // tokens of prompts and answers that are kept
-	Chunk     int           // tokens of a prompt that are read in one step
-	Step      time.Duration // the least that a step takes
-	PerSlot   time.Duration // for each request in the batch
-	ReadRate  float64       // tokens of prompts read in a second
-	FirstWait time.Duration // before an answer's first token
-	Stride    int           // tokens in one event of a stream
-}
-
-// DefaultEngine is an engine of the size the users have today; the figures are
-// those of their deployment's description.
+	Slots          int           // requests in a batch
+	QueueLimit     int           // waiting requests beyond the batch
+	MemoryTokens   int           // capacity for tokens of prompts and answers
+	PrefillChunk   int           // prompt tokens processed in one step
+	StepTime       time.Duration // minimum duration of a step
+	TimePerRequest time.Duration // added to a step for each request in the batch
+	PrefillRate    float64       // prompt tokens processed in a second
+	OutputDelay    time.Duration // until an event of the answer is emitted
+	TokensPerEvent int           // tokens in one event of a stream
+}
+
+// DefaultEngine is an engine of the size in the current deployment; the values are those of the deployment's
+// description.
 var DefaultEngine = Engine{
-	Slots: 64, Queue: 134, Memory: 570_274, Chunk: 4096,
-	Step: 5090 * time.Microsecond, PerSlot: 30 * time.Microsecond,
-	ReadRate: 51_100, FirstWait: 50 * time.Millisecond, Stride: 3,
-}
-
-// run is one request at an engine.
-type run struct {
-	prompt  *model.Prompt
-	output  int
-	unread  int // tokens of the prompt
-	made    int // tokens of the answer
-	started bool
-	// first and each are called with the first and each further event of the
-	// answer, done with its end.
-	first func()
-	each  func()
-	done  func()
-}
-
-// engine is one engine at work.
+	Slots: 64, QueueLimit: 134, MemoryTokens: 570_274, PrefillChunk: 4096,
+	StepTime: 5090 * time.Microsecond, TimePerRequest: 30 * time.Microsecond,
+	PrefillRate: 51_100, OutputDelay: 50 * time.Millisecond, TokensPerEvent: 3,
+}
+
+// execution is one request at an engine.
+type execution struct {
+	prompt           *model.Prompt
+	output           int
+	remainingPrefill int // prompt tokens not yet processed
+	generated        int // tokens of the answer
+	started          bool
+	// onFirst is called at the first event of the answer, onProgress at each further one, onDone at its end.
+	onFirst    func()
+	onProgress func()
+	onDone     func()
+}
+
+// engine is a running engine.
 type engine struct {
 	Engine
-	time    *eventqueue.Queue
-	batch   []*run
-	waiting []*run
-	kept    map[uint64]int // tokens of each part
-	order   []uint64       // of the parts, the one unused the longest first
-	held    int            // tokens of the parts kept
-	busy    bool
+	clock        *eventqueue.Queue
+	batch        []*execution
+	waiting      []*execution
+	cache        map[uint64]int // tokens of each part
+	lru          []uint64       // parts, least recently used first
+	cachedTokens int            // total tokens in cache
+	running      bool
 
-	read    int // tokens of prompts
-	reread  int // of parts shared with other requests that had been read before
-	seen    map[uint64]bool
-	working time.Duration
+	prefillTokens    int // prompt tokens processed
+	recomputedTokens int // tokens of shared parts that were processed again after eviction
+	computed         map[uint64]bool
+	busyTime         time.Duration
 }
 
-func newEngine(shape Engine, time *eventqueue.Queue) *engine {
-	return &engine{Engine: shape, time: time, kept: map[uint64]int{}, seen: map[uint64]bool{}}
+func newEngine(settings Engine, clock *eventqueue.Queue) *engine {
+	return &engine{Engine: settings, clock: clock, cache: map[uint64]int{}, computed: map[uint64]bool{}}
 }
 
-// accept takes a request, or turns it away where the queue is full.
-func (e *engine) accept(r *run) bool {
-	if len(e.waiting) >= e.Queue {
+// accept enqueues a request; it returns false if the queue is full.
+func (e *engine) accept(r *execution) bool {
+	if len(e.waiting) >= e.QueueLimit {
 		return false
 	}
 	e.waiting = append(e.waiting, r)
-	e.wake()
+	e.start()
 	return true
 }
 
-// drop takes back a request whose caller has left.
-func (e *engine) drop(r *run) {
-	same := func(o *run) bool { return o == r }
+// remove removes a request.
+func (e *engine) remove(r *execution) {
+	same := func(o *execution) bool { return o == r }
 	e.waiting = slices.DeleteFunc(e.waiting, same)
 	e.batch = slices.DeleteFunc(e.batch, same)
 }
 
-func (e *engine) wake() {
-	if !e.busy {
-		e.busy = true
-		e.time.At(e.time.Now(), e.step)
+func (e *engine) start() {
+	if !e.running {
+		e.running = true
+		e.clock.At(e.clock.Now(), e.step)
 	}
 }
 
-// admit fills the batch with what waits, in the order it came.
+// admit moves waiting requests to the batch, in the order of arrival.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 && len(e.batch) < e.Slots && e.fits(e.waiting[0]) {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		r.unread = e.find(r.prompt)
+		r.remainingPrefill = e.uncachedTokens(r.prompt)
 		e.batch = append(e.batch, r)
 	}
 }
 
-// fits tells whether there is memory for a request beside those that run.
-func (e *engine) fits(r *run) bool {
-	sum := r.prompt.Tokens + r.output
+// fits reports whether there is memory for a request in addition to those in the batch.
+func (e *engine) fits(r *execution) bool {
+	tokens := r.prompt.Tokens + r.output
 	for _, o := range e.batch {
-		sum += o.prompt.Tokens/2 + o.made // parts are shared: about half is its own
+		tokens += o.prompt.Tokens/2 + o.generated // parts are shared: about half of a prompt is its own
 	}
-	return len(e.batch) == 0 || sum <= e.Memory
+	return len(e.batch) == 0 || tokens <= e.MemoryTokens
 }
 
-// find returns how much of a prompt is to be read.
-func (e *engine) find(p *model.Prompt) int {
-	unread := p.Tokens
+// uncachedTokens returns the number of prompt tokens that are not in the cache.
+func (e *engine) uncachedTokens(p *model.Prompt) int {
+	uncached := p.Tokens
 	for i, part := range p.Parts {
-		if _, ok := e.kept[part.ID]; !ok {
-			e.countAgain(p.Parts[i:])
+		if _, ok := e.cache[part.ID]; !ok {
+			e.countRecomputed(p.Parts[i:])
 			break
 		}
 		e.touch(part.ID)
-		unread -= part.Tokens
+		uncached -= part.Tokens
 	}
-	return max(unread, 0)
+	return max(uncached, 0)
 }
 
-// countAgain counts the shared ones among parts that are read though some engine
-// had read them.
-func (e *engine) countAgain(parts []model.Part) {
+// countRecomputed counts the tokens of the shared parts that the engine had processed before.
+func (e *engine) countRecomputed(parts []model.Part) {
 	for _, part := range parts[:len(parts)-1] {
-		if e.seen[part.ID] {
-			e.reread += part.Tokens
+		if e.computed[part.ID] {
+			e.recomputedTokens += part.Tokens
 		}
 	}
 }
 
 func (e *engine) touch(id uint64) {
-	i := slices.Index(e.order, id)
+	i := slices.Index(e.lru, id)
 	if i >= 0 {
-		e.order = slices.Delete(e.order, i, i+1)
+		e.lru = slices.Delete(e.lru, i, i+1)
 	}
-	e.order = append(e.order, id)
+	e.lru = append(e.lru, id)
 }
 
-// keep puts a prompt's parts into the memory; those unused the longest give way.
-func (e *engine) keep(p *model.Prompt) {
+// cachePrompt adds a prompt's parts to the cache and evicts the least recently used parts beyond the capacity.
+func (e *engine) cachePrompt(p *model.Prompt) {
 	for _, part := range p.Parts {
-		if _, ok := e.kept[part.ID]; !ok {
-			e.kept[part.ID] = part.Tokens
-			e.held += part.Tokens
+		if _, ok := e.cache[part.ID]; !ok {
+			e.cache[part.ID] = part.Tokens
+			e.cachedTokens += part.Tokens
 		}
-		e.seen[part.ID] = true
+		e.computed[part.ID] = true
 		e.touch(part.ID)
 	}
-	room := e.Memory
+	limit := e.MemoryTokens
 	for _, r := range e.batch {
-		room -= r.made
+		limit -= r.generated
 	}
-	for e.held > room && len(e.order) > 0 {
-		oldest := e.order[0]
-		e.order = e.order[1:]
-		e.held -= e.kept[oldest]
-		delete(e.kept, oldest)
+	for e.cachedTokens > limit && len(e.lru) > 0 {
+		oldest := e.lru[0]
+		e.lru = e.lru[1:]
+		e.cachedTokens -= e.cache[oldest]
+		delete(e.cache, oldest)
 	}
 }
 
-// step runs one step of the batch: a token for each request that is being
-// answered, and a piece of the first prompt that is still to be read.
+// step runs one step of the batch: one token for each request whose prompt has been processed, and up to PrefillChunk
+// tokens of the prompts that have not.
 func (e *engine) step() {
 	e.admit()
 	if len(e.batch) == 0 {
-		e.busy = false
+		e.running = false
 		return
 	}
-	reading := 0
-	var ready []*run
+	prefilled := 0
+	var decoding []*execution
 	for _, r := range e.batch {
-		if r.unread > 0 && reading < e.Chunk {
-			piece := min(r.unread, e.Chunk-reading)
-			reading += piece
-			r.unread -= piece
-			if r.unread > 0 {
+		if r.remainingPrefill > 0 && prefilled < e.PrefillChunk {
+			chunk := min(r.remainingPrefill, e.PrefillChunk-prefilled)
+			prefilled += chunk
+			r.remainingPrefill -= chunk
+			if r.remainingPrefill > 0 {
 				continue
 			}
-			e.keep(r.prompt)
+			e.cachePrompt(r.prompt)
 		}
-		if r.unread == 0 {
-			ready = append(ready, r)
+		if r.remainingPrefill == 0 {
+			decoding = append(decoding, r)
 		}
 	}
-	e.read += reading
-	took := e.Step + time.Duration(len(e.batch))*e.PerSlot +
-		time.Duration(float64(reading)/e.ReadRate*float64(time.Second))
-	e.working += took
-	e.time.At(e.time.Now()+took, func() { e.finishStep(ready) })
+	e.prefillTokens += prefilled
+	duration := e.StepTime + time.Duration(len(e.batch))*e.TimePerRequest +
+		time.Duration(float64(prefilled)/e.PrefillRate*float64(time.Second))
+	e.busyTime += duration
+	e.clock.At(e.clock.Now()+duration, func() { e.finishStep(decoding) })
 }
 
-func (e *engine) finishStep(ready []*run) {
-	for _, r := range ready {
-		e.token(r)
+func (e *engine) finishStep(decoding []*execution) {
+	for _, r := range decoding {
+		e.generate(r)
 	}
 	e.step()
 }
 
-// token makes one token of a request's answer.
-func (e *engine) token(r *run) {
+// generate produces one token of a request's answer.
+func (e *engine) generate(r *execution) {
 	if !slices.Contains(e.batch, r) {
 		return
 	}
-	r.made++
+	r.generated++
 	if !r.started {
 		r.started = true
-		e.time.At(e.time.Now()+e.FirstWait, r.first)
-	} else if r.made%e.Stride == 0 {
-		e.time.At(e.time.Now()+e.FirstWait, r.each)
+		e.clock.At(e.clock.Now()+e.OutputDelay, r.onFirst)
+	} else if r.generated%e.TokensPerEvent == 0 {
+		e.clock.At(e.clock.Now()+e.OutputDelay, r.onProgress)
 	}
-	if r.made >= r.output {
-		e.drop(r)
-		e.time.At(e.time.Now()+e.FirstWait, r.done)
+	if r.generated >= r.output {
+		e.remove(r)
+		e.clock.At(e.clock.Now()+e.OutputDelay, r.onDone)
 	}
 }
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -9,45 +9,45 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Kind is a kind of request.
+// Kind describes a kind of request.
 type Kind struct {
-	Name      string
-	PerSecond float64
-	Shared    int // tokens of the part that requests about one thing share
-	Things    int
-	Own       int // tokens of the request's own part, in the mean
-	Spread    float64
-	Output    int // tokens of the answer, in the mean
-	Objective time.Duration
-	Pause     time.Duration // the longest between two events in time
-	Deadline  time.Duration
-	Worth     float64
+	Name           string
+	PerSecond      float64
+	SharedTokens   int // length of the prefix that several requests have in common
+	SharedPrefixes int
+	OwnTokens      int // mean length of the part specific to the request
+	OwnSigma       float64
+	OutputTokens   int // mean length of the answer
+	Objective      time.Duration
+	MaxPause       time.Duration // longest pause between two events that meets the objective
+	Deadline       time.Duration
+	Worth          float64
 }
 
-// Load is what the callers send.
+// Load describes the requests of the callers.
 type Load struct {
 	Kinds    []Kind
 	Accounts int
 	Skew     float64 // of the accounts' sizes
-	// Factor is how much more than usual is sent, and Hot the accounts, from the
-	// largest, that send HotFactor times their usual from a third of the time to
-	// two thirds.
-	Factor    float64
-	Hot       int
-	HotFactor float64
-	// HotAtOnce lets the hot accounts send so much from the beginning to the end.
-	HotAtOnce bool
-	// Turns are groups of accounts that send HotFactor times their usual by turns, each group for TurnFor.
-	Turns   [][]int
-	TurnFor time.Duration
-	// AtOneRouter are the accounts all of whose callers reach one router, each its own;
-	// the others' callers reach any.
-	AtOneRouter []int
-	// Retries is how often a caller that was refused comes back.
+	// Factor multiplies the normal load. HotAccounts is the number of accounts, from the largest, that send HotFactor
+	// times their normal load during the middle third of the run.
+	Factor      float64
+	HotAccounts int
+	HotFactor   float64
+	// AlwaysHot extends the raised load of the hot accounts to the whole run.
+	AlwaysHot bool
+	// HotGroups are groups of accounts that send HotFactor times their normal load in rotation, each group for
+	// HotGroupPeriod.
+	HotGroups      [][]int
+	HotGroupPeriod time.Duration
+	// SingleRouterAccounts are accounts whose callers all connect to one router, a different one for each account;
+	// callers of other accounts connect to any router.
+	SingleRouterAccounts []int
+	// Retries is the maximum number of retries of a refused request.
 	Retries int
 }
 
-// DefaultLoad is the model requests that the league sends on a calm day.
+// DefaultLoad is the mix of model requests under normal load.
 var DefaultLoad = Load{
 	Kinds: []Kind{
 		{"review", 24.3, 13_300, 55, 3720, 1.1, 120, 800 * time.Millisecond, 400 * time.Millisecond, 12 * time.Second, 3.1},
@@ -57,93 +57,93 @@
 	Accounts: 16, Skew: 1.8, Factor: 1, HotFactor: 7, Retries: 1,
 }
 
-// call is a request of a caller, over all its tries.
+// call is a caller's request, including all its attempts.
 type call struct {
-	kind    int
-	account int
-	prompt  model.Prompt
-	output  int
-	sent    model.Time
-	tries   int
-	first   time.Duration // until the answer began, 0 for never
-	broken  bool          // a pause was too long
-	done    bool
-	run     *run
-	at      *engine
+	kind       int
+	account    int
+	prompt     model.Prompt
+	output     int
+	sentAt     model.Time
+	attempts   int
+	firstToken time.Duration // time from the first attempt to the first token, 0 if none was received
+	stalled    bool          // a pause exceeded MaxPause
+	done       bool
+	execution  *execution
+	engine     *engine
 }
 
-// source draws what the callers send.
-type source struct {
+// generator draws random requests.
+type generator struct {
 	load   Load
 	random *rand.Rand
-	sizes  []float64 // part of the load of each account, adding up to 1
+	shares []float64 // fraction of the load of each account; the sum is 1
 	nextID uint64
 }
 
-func newSource(load Load, random *rand.Rand) *source {
-	s := &source{load: load, random: random}
+func newGenerator(load Load, random *rand.Rand) *generator {
+	g := &generator{load: load, random: random}
 	sum := 0.0
 	for i := range load.Accounts {
-		size := math.Pow(float64(i+1), -load.Skew/2)
-		s.sizes = append(s.sizes, size)
-		sum += size
+		share := math.Pow(float64(i+1), -load.Skew/2)
+		g.shares = append(g.shares, share)
+		sum += share
 	}
-	for i := range s.sizes {
-		s.sizes[i] /= sum
+	for i := range g.shares {
+		g.shares[i] /= sum
 	}
-	return s
+	return g
 }
 
-// routerOf returns the router that a caller of an account reaches, of n.
+// routerOf returns the index of the router, of n, that a caller of an account connects to.
 func (l *Load) routerOf(account, n int, random *rand.Rand) int {
-	if i := slices.Index(l.AtOneRouter, account); i >= 0 {
+	if i := slices.Index(l.SingleRouterAccounts, account); i >= 0 {
 		return i % n
 	}
 	return random.IntN(n)
 }
 
-// isHot tells whether an account sends HotFactor times its usual so far into an experiment of some length.
-func (l *Load) isHot(account int, into, length time.Duration) bool {
-	if len(l.Turns) > 0 {
-		turn := max(int(into/l.TurnFor), 0) % len(l.Turns)
-		return slices.Contains(l.Turns[turn], account)
+// isHot reports whether an account sends HotFactor times its normal load at a time after the start of a run.
+func (l *Load) isHot(account int, elapsed, length time.Duration) bool {
+	if len(l.HotGroups) > 0 {
+		group := max(int(elapsed/l.HotGroupPeriod), 0) % len(l.HotGroups)
+		return slices.Contains(l.HotGroups[group], account)
 	}
 	third := length / 3
-	return account < l.Hot && (l.HotAtOnce || into > third && into < 2*third)
+	return account < l.HotAccounts && (l.AlwaysHot || elapsed > third && elapsed < 2*third)
 }
 
-// gap returns the time until the next request of a kind from an account.
-func (s *source) gap(kind, account int, hot bool) time.Duration {
-	rate := s.load.Kinds[kind].PerSecond * s.load.Factor * s.sizes[account]
+// interArrival returns the time until an account's next request of a kind.
+func (g *generator) interArrival(kind, account int, hot bool) time.Duration {
+	rate := g.load.Kinds[kind].PerSecond * g.load.Factor * g.shares[account]
 	if hot {
-		rate *= s.load.HotFactor
+		rate *= g.load.HotFactor
 	}
-	return time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
+	return time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// logNormal draws a value with the given mean.
-func (s *source) logNormal(mean, spread float64) float64 {
-	return mean * math.Exp(spread*s.random.NormFloat64()-spread*spread/2)
+// logNormal draws a value from a log-normal distribution with the given mean.
+func (g *generator) logNormal(mean, sigma float64) float64 {
+	return mean * math.Exp(sigma*g.random.NormFloat64()-sigma*sigma/2)
 }
 
 const (
-	outputSpread = 0.9
-	// maxOwn bounds a request's own part, in means.
-	maxOwn = 14
+	outputSigma = 0.9
+	// maxOwnFactor limits the length of a request's own part, as a multiple of its mean.
+	maxOwnFactor = 14
 )
 
-// draw returns a request.
-func (s *source) draw(kind, account int, now model.Time) *call {
-	k := s.load.Kinds[kind]
-	s.nextID++
-	own := int(min(s.logNormal(float64(k.Own), k.Spread), maxOwn*float64(k.Own))) + 1
-	thing := s.random.IntN(k.Things)
-	shared := model.Part{ID: uint64(kind+1)<<40 | uint64(thing), Tokens: k.Shared}
-	c := &call{kind: kind, account: account, sent: now, output: int(s.logNormal(float64(k.Output), outputSpread)) + 1}
+// draw returns a random request.
+func (g *generator) draw(kind, account int, now model.Time) *call {
+	k := g.load.Kinds[kind]
+	g.nextID++
+	own := int(min(g.logNormal(float64(k.OwnTokens), k.OwnSigma), maxOwnFactor*float64(k.OwnTokens))) + 1
+	prefix := g.random.IntN(k.SharedPrefixes)
+	shared := model.Part{ID: uint64(kind+1)<<40 | uint64(prefix), Tokens: k.SharedTokens}
+	c := &call{kind: kind, account: account, sentAt: now, output: int(g.logNormal(float64(k.OutputTokens), outputSigma)) + 1}
 	c.prompt = model.Prompt{
-		Tokens: k.Shared + own, MaxOutput: 4 * c.output,
-		Parts: []model.Part{shared, {ID: 1<<60 | s.nextID, Tokens: own}},
+		Tokens: k.SharedTokens + own, MaxOutput: 4 * c.output,
+		Parts: []model.Part{shared, {ID: 1<<60 | g.nextID, Tokens: own}},
 	}
-	c.prompt.Hint = int(s.logNormal(float64(c.output), outputSpread/2)) + 1
+	c.prompt.Hint = int(g.logNormal(float64(c.output), outputSigma/2)) + 1
 	return c
 }
--- a/emulator/plot.go
+++ b/emulator/plot.go
@@ -10,21 +10,20 @@
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// plotPoints is how many points a curve has.
+	// plotPoints is the number of points of a curve.
 	plotPoints = 200
-	// plotUntil is the longest time until a first token that is shown, in
-	// seconds.
-	plotUntil = 3.0
+	// plotMaxSeconds is the largest time to first token that is shown.
+	plotMaxSeconds = 3.0
 )
 
-// WritePlot draws the share of all requests whose answer has begun after so
-// long, a curve for each result, into a file whose ending gives the format.
+// WritePlot writes a plot of the cumulative distribution of the time to first token, with a curve for each result.
+// The file's extension selects the format.
 func WritePlot(path string, results []Result) error {
 	p := plot.New()
 	p.Title.Text = "Requests whose answer has begun"
 	p.X.Label.Text = "seconds since the caller's first try"
 	p.Y.Label.Text = "share of the requests"
-	p.X.Max = plotUntil
+	p.X.Max = plotMaxSeconds
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Left = false
 	for i, r := range results {
@@ -44,7 +43,7 @@
 	var out plotter.XYs
 	at := 0
 	for i := range plotPoints + 1 {
-		x := plotUntil * float64(i) / plotPoints
+		x := plotMaxSeconds * float64(i) / plotPoints
 		for at < len(r.FirstTokens) && r.FirstTokens[at].Seconds() <= x {
 			at++
 		}
