--- a/front/serve.go
+++ b/front/serve.go
@@ -29,8 +29,8 @@
 	maxSends = 3
 	// callerCheckInterval is the interval at which the caller's connection is checked while a request waits.
 	callerCheckInterval = 500 * time.Millisecond
-	// maxBuffered is the size up to which a response that isn't streamed is buffered whole, in bytes.
-	maxBuffered = 1 << 20
+	// maxBuffer is the size up to which a response that isn't streamed is buffered whole, in bytes.
+	maxBuffer   = 1 << 20
 	firstBuffer = 4096
 )
 
@@ -244,7 +244,7 @@
 	r.callerStopped = a.callerStopCounter(a.ctx.Conn())
 	size := firstBuffer
 	if !events {
-		size = maxBuffered
+		size = maxBuffer
 	}
 	r.head, r.headErr = readHead(response, size, events)
 	if r.headErr != nil && r.headErr != io.EOF {
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -111,8 +111,8 @@
 func (a *attempt) reserveResponse(response *exchange.Answer) (limit int, ok bool) {
 	a.resizeResponse(0) // of a previous send
 	limit = response.Header.ContentLength()
-	if limit < 0 || limit > maxBuffered {
-		limit = maxBuffered
+	if limit < 0 || limit > maxBuffer {
+		limit = maxBuffer
 	}
 	if a.req.Header.IsHead() || response.StatusCode() == fasthttp.StatusNotModified {
 		limit = 0
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxBuffered is the size in bytes of the largest response that is read whole before it is relayed; one that is
+	// maxBuffer is the size in bytes of the largest response that is read whole before it is relayed; one that is
 	// truncated can then be retried.
-	maxBuffered = 256 << 10
+	maxBuffer = 256 << 10
 	// relayBuffer is the size in bytes of the largest part of a stream relayed at once.
 	relayBuffer = 8 << 10
 )
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	if size > maxBuffered {
+	if size > maxBuffer {
 		return r.relayChunked(a, response, body, make([]byte, blockSize))
 	}
 	a.resizeResponse(size)
@@ -83,9 +83,9 @@
 // kernel has accepted it.
 const blockSize = 32 << 10
 
-// readBlocks reads a response with an expected size, up to one byte more than maxBuffered.
+// readBlocks reads a response with an expected size, up to one byte more than maxBuffer.
 func readBlocks(response *exchange.Answer, expected int) (blocks net.Buffers, size int, err error) {
-	for size <= maxBuffered {
+	for size <= maxBuffer {
 		block := make([]byte, 0, blockFor(expected, size))
 		for len(block) < cap(block) {
 			n, err := response.Read(block[len(block):cap(block)])
@@ -107,10 +107,10 @@
 }
 
 // blockFor returns the size of the next block after the given number of bytes. A response of unknown length, for which
-// maxBuffered bytes are expected, begins with a small block. Each block has room for one more byte, so that the end is
+// maxBuffer bytes are expected, begins with a small block. Each block has room for one more byte, so that the end is
 // found without another block.
 func blockFor(expected, read int) int {
-	if expected == maxBuffered && read == 0 {
+	if expected == maxBuffer && read == 0 {
 		return writeBuffer
 	}
 	return min(max(expected-read, 0)+1, blockSize)
