--- a/config/document.go
+++ b/config/document.go
@@ -49,7 +49,7 @@
 	}
 	text, err := io.ReadAll(io.LimitReader(r, MaxSize+1))
 	if err != nil {
-		return nil, Corrupt.Wrap(err, "generation %d is truncated", d.GetGeneration())
+		return nil, Corrupt.Wrap(err, "generation %d is cut off", d.GetGeneration())
 	}
 	if len(text) > MaxSize {
 		return nil, Corrupt.New("generation %d is larger than %d bytes", d.GetGeneration(), MaxSize)
--- a/config/evacuate.go
+++ b/config/evacuate.go
@@ -19,7 +19,7 @@
 func SetEvacuated(text []byte, halls []string) ([]byte, error) {
 	value, err := yaml.MarshalWithOptions(halls, yaml.Flow(true))
 	if err != nil {
-		return nil, Uneditable.Wrap(err, "the data halls can't be encoded")
+		return nil, Uneditable.Wrap(err, "the data halls can't be written")
 	}
 	f, _, findings := Read("", text)
 	if findings.Failed() {
@@ -34,10 +34,10 @@
 	}
 	path, err := yaml.PathString("$." + evacuatedField)
 	if err != nil {
-		return nil, Uneditable.Wrap(err, "the path of the field is invalid")
+		return nil, Uneditable.Wrap(err, "the field can't be found")
 	}
 	if err := path.ReplaceWithReader(tree, strings.NewReader(string(value))); err != nil {
-		return nil, Uneditable.Wrap(err, "the field can't be replaced")
+		return nil, Uneditable.Wrap(err, "the field can't be changed")
 	}
 	return []byte(strings.TrimRight(tree.String(), "\n") + "\n"), nil
 }
--- a/generation/apply.go
+++ b/generation/apply.go
@@ -29,7 +29,7 @@
 // has it. Findings are returned as an error.
 func (s *Service) Apply(ctx context.Context, a Apply) (uint64, error) {
 	if s.readOnly {
-		return 0, ReadOnly.New("the configuration is written to the store by another system")
+		return 0, ReadOnly.New("the configuration is put into the store by others")
 	}
 	_, findings := checks.File("configuration", a.Text)
 	if err := findings.Err(); err != nil {
@@ -46,7 +46,7 @@
 		select {
 		case <-ctx.Done():
 			if sent {
-				return 0, Unknown.New("the store's response was lost and the configuration can't be read back")
+				return 0, Unknown.New("the store's answer is lost and it can't be read back")
 			}
 			return 0, store.Unavailable.Wrap(err, "nothing was applied")
 		case <-time.After(retryPause):
@@ -65,7 +65,7 @@
 	}
 	before := &wire.Document{}
 	if err := proto.Unmarshal(v.Data, before); err != nil {
-		return 0, true, config.Corrupt.Wrap(err, "the store's configuration can't be decoded")
+		return 0, true, config.Corrupt.Wrap(err, "the store's configuration can't be read")
 	}
 	if slices.Contains(before.Applies, a.ID) {
 		s.installValue(v)
--- a/internal/exchange/answer.go
+++ b/internal/exchange/answer.go
@@ -195,7 +195,7 @@
 }
 
 // ErrUnmatchedResponse is the error for a connection that carries responses to other requests.
-var ErrUnmatchedResponse = errors.New("response belongs to another request")
+var ErrUnmatchedResponse = errors.New("the answer belongs to another request")
 
 // fixedBody is a body of a given length.
 type fixedBody struct {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -47,7 +47,7 @@
 }
 
 // ErrUndelimited is the error for a response whose end can't be distinguished from a broken connection.
-var ErrUndelimited = errors.New("response has neither a length nor chunked encoding")
+var ErrUndelimited = errors.New("the answer has neither a length nor chunks")
 
 const (
 	defaultIdleLimit = 20 * time.Second
@@ -121,7 +121,7 @@
 }
 
 // errUnwanted is the error for a request that was no longer wanted.
-var errUnwanted = errors.New("request is no longer wanted")
+var errUnwanted = errors.New("the request isn't wanted any more")
 
 // maxSkipped is the maximum number of unmatched responses discarded in one exchange.
 const maxSkipped = 1
--- a/store/etcd.go
+++ b/store/etcd.go
@@ -108,7 +108,7 @@
 func (s *Etcd) Get(ctx context.Context, key string) (Value, error) {
 	var out rangeResponse
 	if err := s.call(ctx, "/v3/kv/range", rangeRequest{Key: []byte(key)}, &out, callTimeout); err != nil {
-		return Value{}, Unavailable.Wrap(err, "can't read from the store")
+		return Value{}, Unavailable.Wrap(err, "the store doesn't answer")
 	}
 	return out.value(), nil
 }
@@ -136,9 +136,9 @@
 	var out txnResponse
 	if err := s.call(ctx, "/v3/kv/txn", request, &out, callTimeout); err != nil {
 		if exchange.NotSent(err) {
-			return Value{}, false, Unavailable.Wrap(err, "can't connect to the store")
+			return Value{}, false, Unavailable.Wrap(err, "the store isn't reached")
 		}
-		return Value{}, false, Ambiguous.Wrap(err, "the store's response to a swap was lost")
+		return Value{}, false, Ambiguous.Wrap(err, "the store's answer to a swap is lost")
 	}
 	if out.Succeeded {
 		return Value{Data: data, Revision: out.Header.Revision}, true, nil
