--- a/core/byprompt.go
+++ b/core/byprompt.go
@@ -32,7 +32,7 @@
 	hall := c.members.Self().DataHall
 	for id, p := range c.config.Pools {
 		out.Pools[id] = prompt.Pool{
-			Engine: p.FollowLoad, Memory: p.MemoryTokens, CopyRate: p.CopyRate, ColdFor: p.ColdFor,
+			Engine: p.FollowLoad, CacheTokens: p.MemoryTokens, CopyRate: p.CopyRate, ColdFor: p.ColdFor,
 		}
 		if p.ColdRate > 0 {
 			pool := out.Pools[id]
@@ -64,7 +64,7 @@
 	c.promptKeys[e.ID] = key
 	in := prompt.Request{
 		ID: e.ID, Account: e.Account, Pool: e.Pool, Route: e.Route, Prompt: e.Prompt,
-		Objective: e.Objective, Wait: e.Wait, Priority: e.Priority, Except: e.Except, Lag: e.Lag,
+		Objective: e.Objective, Wait: e.Wait, Priority: e.Priority, Exclude: e.Except, Lag: e.Lag,
 	}
 	if cost := c.prompt.CostOf(&in); cost > 0 && len(e.Except) == 0 {
 		c.countByPrompt(key, cost, 0)
@@ -79,7 +79,7 @@
 		in := prompt.Request{Account: r.Account, Pool: r.Pool, Route: r.Route, Prompt: r.Prompt}
 		if c.config.Pools[r.Pool].FollowLoad {
 			c.loads.changed = true
-			c.prompt.CountUnread(r.Account, c.prompt.CostOf(&in))
+			c.prompt.AddRefusedUnread(r.Account, c.prompt.CostOf(&in))
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		return
 	}
 	c.loads.changed = true
-	c.prompt.Count(key.Account, requested, begun)
+	c.prompt.AddUsage(key.Account, requested, begun)
 	if begun != 0 {
 		c.ledger.Add(c.now, key, model.ServiceOf(begun, 1))
 	}
@@ -105,7 +105,7 @@
 	}
 	c.prompt.Sample(c.now)
 	c.prompt.Tick(c.now)
-	for _, a := range c.prompt.Take() {
+	for _, a := range c.prompt.TakeActions() {
 		switch a := a.(type) {
 		case prompt.Dispatch:
 			c.dispatchedByPrompt(a)
@@ -113,7 +113,7 @@
 			delete(c.promptKeys, a.ID)
 			c.do(Refuse{
 				ID: a.ID, Reason: Refusal(a.Reason), RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis,
-				Holds: a.Holds,
+				Holds: a.ValidFor,
 			})
 		}
 	}
@@ -133,14 +133,14 @@
 
 // promptEndings maps each ending to that of package prompt.
 var promptEndings = map[Ending]prompt.Ending{
-	Done: prompt.Done, Broken: prompt.Left, NotSent: prompt.NotSent, Cancelled: prompt.Left,
+	Done: prompt.Done, Broken: prompt.Disconnected, NotSent: prompt.NotSent, Cancelled: prompt.Disconnected,
 	Rejected: prompt.Rejected, Failed: prompt.Failed,
 }
 
 // finishByPrompt ends a request. The tokens of a request that wasn't executed are subtracted again.
 func (c *Core) finishByPrompt(e Finish) {
 	notRun := e.Ending == NotSent || e.Ending == Rejected || e.Ending == Cancelled
-	if cost := c.prompt.Cost(e.ID); cost > 0 && notRun && c.prompt.Sent(e.ID) {
+	if cost := c.prompt.Cost(e.ID); cost > 0 && notRun && c.prompt.Dispatched(e.ID) {
 		c.countByPrompt(c.promptKeys[e.ID], 0, -cost)
 	}
 	delete(c.promptKeys, e.ID)
--- a/core/core.go
+++ b/core/core.go
@@ -128,7 +128,7 @@
 	}
 	c.notices = notice.New()
 	c.prompt = prompt.New(now, random)
-	c.prompt.Heed(c.notices)
+	c.prompt.SetNotices(c.notices)
 	c.retries = retry.New(retry.Limits{})
 	c.suspicions = newSuspicions(self.Boot)
 	c.ledger = ledger.New(self.Name, now, random.Uint64, c.lookAheadOf)
@@ -193,7 +193,7 @@
 			c.turnedAway(e)
 		}
 	case Began:
-		c.prompt.Began(c.now, e.ID)
+		c.prompt.RecordBegin(c.now, e.ID)
 	case Progress:
 		c.progress(e)
 	case Finish:
--- a/core/incarnation_test.go
+++ b/core/incarnation_test.go
@@ -48,7 +48,7 @@
 			if d, ok := a.(Dispatch); ok {
 				c.Step(now+time.Second, Began{ID: last})
 				c.Step(now+2*time.Second, Finish{ID: last, Ending: Done})
-				return d.Basis.Unread
+				return d.Basis.PrefillTokens
 			}
 		}
 		return -1
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -142,7 +142,7 @@
 func (c *Core) abandon(id RequestID) {
 	delete(c.suspicions.asking, id)
 	if c.prompt.Has(id) {
-		c.prompt.Finish(c.now, id, prompt.Left, 0)
+		c.prompt.Finish(c.now, id, prompt.Disconnected, 0)
 		return
 	}
 	r := c.requests[id]
--- a/core/loadreport.go
+++ b/core/loadreport.go
@@ -20,8 +20,8 @@
 	}
 	for _, n := range w.Accounts {
 		out.Accounts = append(out.Accounts, uint32(n.Account))
-		out.Asked = append(out.Asked, n.Asked)
-		out.Begun = append(out.Begun, n.Begun)
+		out.Asked = append(out.Asked, n.Requested)
+		out.Begun = append(out.Begun, n.Started)
 	}
 	return out
 }
@@ -41,7 +41,7 @@
 	}
 	if len(in.Accounts) == len(in.Asked) && len(in.Accounts) == len(in.Begun) {
 		for i, id := range in.Accounts {
-			out.Accounts = append(out.Accounts, prompt.AccountIncrement{Account: model.AccountID(id), Asked: in.Asked[i], Begun: in.Begun[i]})
+			out.Accounts = append(out.Accounts, prompt.AccountIncrement{Account: model.AccountID(id), Requested: in.Asked[i], Started: in.Begun[i]})
 		}
 	}
 	return out
--- a/core/loads.go
+++ b/core/loads.go
@@ -316,9 +316,9 @@
 		return false
 	}
 	if in.Process == uint32(from.Boot) {
-		c.prompt.Readmit(c.now, from.Name, in.Process)
+		c.prompt.AcceptProcess(c.now, from.Name, in.Process)
 	}
-	if !c.prompt.TakeLoadReport(c.now, from.Name, in.Process, decodeLoadReport(in)) {
+	if !c.prompt.ApplyLoadReport(c.now, from.Name, in.Process, decodeLoadReport(in)) {
 		c.overdue.recordDrop(in.Router, dropNotNewer)
 		return false
 	}
@@ -332,10 +332,10 @@
 // relays forwarded before the restart was noticed are kept.
 func (c *Core) forgetLoads(change member.Change) {
 	m := c.members.Get(change.Name)
-	if change.Restarted && m != nil && c.prompt.Knows(change.Name, uint32(m.Boot)) {
+	if change.Restarted && m != nil && c.prompt.IsCurrentProcess(change.Name, uint32(m.Boot)) {
 		return
 	}
-	c.prompt.ForgetRouter(change.Name)
+	c.prompt.RemoveRouter(change.Name)
 }
 
 // isEmpty reports whether a message has no content, and is sent only to be confirmed.
--- a/core/loads_bench_test.go
+++ b/core/loads_bench_test.go
@@ -57,7 +57,7 @@
 		f.runUntil(begin + time.Duration(i)*every)
 		n := f.nodes[i%routers]
 		f.submitPrompt(n, model.Account(names[i%len(names)]), 1000, 20)
-		age += n.core.prompt.MeanAge().Seconds() * 1000
+		age += n.core.prompt.MeanReportAge().Seconds() * 1000
 		samples++
 	}
 	out := reportCosts{messages: messages / seconds / float64(routers), age: age / samples}
--- a/core/loads_test.go
+++ b/core/loads_test.go
@@ -85,16 +85,16 @@
 			f.kill(f.byName[m.Name])
 		}
 	}
-	before := f.nodes[20].core.prompt.Usage(account).Asked
+	before := f.nodes[20].core.prompt.Usage(account).Requested
 	for range 20 {
 		f.sendOne(f.nodes[20])
 	}
-	asked := f.nodes[20].core.prompt.Usage(account).Asked
+	asked := f.nodes[20].core.prompt.Usage(account).Requested
 	is.True(asked > before)
 	f.runUntil(f.time.Now() + 2*loadReportInterval + 20*time.Millisecond)
 	current := 0
 	for _, n := range f.nodes {
-		if !n.down && n.core.prompt.Usage(account).Asked > 0.9*asked {
+		if !n.down && n.core.prompt.Usage(account).Requested > 0.9*asked {
 			current++
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 	f.runUntil(f.time.Now() + 2*loadReportInterval + 20*time.Millisecond)
 	for _, n := range f.nodes {
-		is.Equal(n.core.prompt.Usage(account), prompt.Usage{Asked: 50 * 1200})
+		is.Equal(n.core.prompt.Usage(account), prompt.Usage{Requested: 50 * 1200})
 		is.True(n.core.prompt.Idle())
 	}
 }
@@ -300,7 +300,7 @@
 	f.runUntil(f.time.Now() + 2*time.Second)
 	least := math.Inf(1)
 	for _, n := range f.nodes {
-		least = min(least, n.core.prompt.Begun(account))
+		least = min(least, n.core.prompt.TotalStarted(account))
 	}
 	t.Logf("%.0f tokens begun, %.0f recorded at the worst router", begun, least)
 	is.True(least > 0.9*begun)
--- a/core/overdue.go
+++ b/core/overdue.go
@@ -109,7 +109,7 @@
 	if _, known := o.alive[name]; !known {
 		o.alive[name] = c.now
 	}
-	last := c.prompt.HeardOf(name)
+	last := c.prompt.LastContact(name)
 	at := max(last.At, o.alive[name])
 	since, was := o.lastReport[name]
 	is := c.now > at+overdueAfter
@@ -128,7 +128,7 @@
 	return change, true
 }
 
-func (c *Core) overdueChange(name string, last prompt.Heard) LoadsOverdue {
+func (c *Core) overdueChange(name string, last prompt.PeerContact) LoadsOverdue {
 	dropped := c.overdue.dropped[model.HashName(name)]
 	out := LoadsOverdue{
 		Router: name, Sequence: last.Sequence, Relay: c.loads.link.relay,
--- a/core/placement.go
+++ b/core/placement.go
@@ -39,7 +39,7 @@
 	c.chooseWatchers(live)
 	c.prompt.SetRouters(len(live))
 	self := c.members.Self().Name
-	c.prompt.KnowRouters(self, append(slices.Clone(c.members.Names()), self), c.listed)
+	c.prompt.SetRouterNames(self, append(slices.Clone(c.members.Names()), self), c.listed)
 	c.retries.SetRouters(len(live))
 	if c.config.Policy == nil || c.config.Policy.ByPrompt != nil {
 		return
--- a/core/presence.go
+++ b/core/presence.go
@@ -160,7 +160,7 @@
 	switch {
 	case m == nil || !c.loads.presence.wanted:
 	case m.Reachable():
-		c.prompt.NothingNew(c.now, name)
+		c.prompt.ConfirmUnchanged(c.now, name)
 	default:
 		c.askDead(name)
 	}
--- a/core/prompt/coldstart.go
+++ b/core/prompt/coldstart.go
@@ -68,9 +68,9 @@
 	assigned map[model.PoolID][]model.BackendID
 }
 
-// KnowRouters sets the names of all routers, this one included; listed reports whether the list of routers has been
+// SetRouterNames sets the names of all routers, this one included; listed reports whether the list of routers has been
 // received at all.
-func (m *Machine) KnowRouters(self string, routers []string, listed bool) {
+func (m *Machine) SetRouterNames(self string, routers []string, listed bool) {
 	m.coldAssignment.listed = listed
 	m.coldAssignment.self = self
 	m.coldAssignment.ring = cold.NewRing(routers)
--- a/core/prompt/coldstart_test.go
+++ b/core/prompt/coldstart_test.go
@@ -16,7 +16,7 @@
 // coldConfig returns a pool of engines with a bound on requests while they are cold, after applying change to each.
 func coldConfig(engines int, change func(i int, b *Backend)) Config {
 	c := testConfig(engines)
-	c.Pools[pool] = Pool{Engine: true, Memory: 500_000, ColdBound: coldBound, ColdFor: 3 * time.Second}
+	c.Pools[pool] = Pool{Engine: true, CacheTokens: 500_000, ColdBound: coldBound, ColdFor: 3 * time.Second}
 	for i := range engines {
 		id := model.Backend(fmt.Sprintf("engine-%d", i))
 		b := c.Backends[id]
@@ -41,7 +41,7 @@
 	for i, name := range names {
 		m := New(now, rand.New(rand.NewPCG(uint64(i), 2)))
 		m.Configure(now, c)
-		m.KnowRouters(name, names, true)
+		m.SetRouterNames(name, names, true)
 		out = append(out, m)
 	}
 	return out
@@ -65,7 +65,7 @@
 			m.Sample(now)
 			m.Arrive(now, shortRequest(id))
 			m.Tick(now)
-			for _, a := range m.Take() {
+			for _, a := range m.TakeActions() {
 				if d, ok := a.(Dispatch); ok {
 					sent[d.Backend] = append(sent[d.Backend], now)
 					m.Finish(now, d.ID, Done, 10)
@@ -120,7 +120,7 @@
 	is := is.New(t)
 	fleet := newFleet(6, 0, coldConfig(4, setCold))
 	for _, m := range fleet {
-		m.KnowRouters(m.coldAssignment.self, []string{m.coldAssignment.self}, false)
+		m.SetRouterNames(m.coldAssignment.self, []string{m.coldAssignment.self}, false)
 	}
 	is.Equal(len(flood(fleet, 3*time.Second, time.Second)), 0)
 }
@@ -156,7 +156,7 @@
 	}
 	m := fleet[0]
 	m.Arrive(8*time.Second, newRequest(1<<40, 1, 1, 100))
-	refusal := m.Take()[0].(Refuse)
+	refusal := m.TakeActions()[0].(Refuse)
 	is.Equal(refusal.Reason, NoBackend)
 	is.Equal(refusal.Waited, time.Duration(0)) // waiting would be pointless
 }
@@ -171,7 +171,7 @@
 	}
 	m.Configure(0, c)
 	m.Arrive(0, Request{ID: 1, Pool: pool, Objective: time.Second, Wait: time.Second})
-	is.Equal(m.Take()[0].(Refuse).Reason, NoBackend)
+	is.Equal(m.TakeActions()[0].(Refuse).Reason, NoBackend)
 	c.Backends[1] = Backend{Name: "one", Pool: pool, Hall: "hall-0", Slots: 4}
 	m.Configure(time.Second, c)
 	m.Arrive(time.Second, Request{ID: 2, Pool: pool, Objective: time.Second, Wait: time.Second})
@@ -189,7 +189,7 @@
 	m.Configure(0, c)
 	m.Arrive(0, newRequest(1, 1, 7, 1000))
 	first := onlyDispatch(t, m)
-	m.Began(300*time.Millisecond, 1)
+	m.RecordBegin(300*time.Millisecond, 1)
 	m.Finish(time.Second, 1, Done, 50)
 	evacuated := c.Backends[first.Backend]
 	evacuated.Evacuated = true
--- a/core/prompt/hallhomes_test.go
+++ b/core/prompt/hallhomes_test.go
@@ -42,7 +42,7 @@
 			far++
 		}
 		homes = append(homes, d.Backend)
-		m.Began(now+100*time.Millisecond, id)
+		m.RecordBegin(now+100*time.Millisecond, id)
 		m.Finish(now+200*time.Millisecond, id, Done, 50)
 		now += time.Second
 	}
--- a/core/prompt/health.go
+++ b/core/prompt/health.go
@@ -84,7 +84,7 @@
 		h.excludedUntil = max(h.excludedUntil, now+unreachablePause)
 	case Rejected:
 		h.excludedUntil = max(h.excludedUntil, now+rejectedPause)
-	case Left:
+	case Disconnected:
 	}
 }
 
--- a/core/prompt/home_test.go
+++ b/core/prompt/home_test.go
@@ -17,7 +17,7 @@
 		id := model.RequestID(now)
 		m.Arrive(now, newRequest(id, 1, uint64(now), 1000))
 		onlyDispatch(t, m)
-		m.Began(now+delay, id)
+		m.RecordBegin(now+delay, id)
 		m.Finish(now+time.Second, id, Done, 50)
 	}
 	return now + 2*time.Second
@@ -30,11 +30,11 @@
 	m := newMachine(9)
 	now := answerAtHomes(t, m, 40, 0, 85*time.Millisecond)
 	m.Arrive(now, newRequest(1, 1, 7, 1000))
-	is.True(onlyDispatch(t, m).Basis.Unread < 1500) // though never sent by this router
+	is.True(onlyDispatch(t, m).Basis.PrefillTokens < 1500) // though never sent by this router
 	m.Finish(now, 1, Done, 50)
 	now = answerAtHomes(t, m, 40, now, 290*time.Millisecond)
 	m.Arrive(now, newRequest(2, 1, 8, 1000))
-	is.True(onlyDispatch(t, m).Basis.Unread > 10_500)
+	is.True(onlyDispatch(t, m).Basis.PrefillTokens > 10_500)
 }
 
 // TestHomeHitRateConvergesQuickly restarts a router while the engines cache all prompts: a few answers suffice.
@@ -43,7 +43,7 @@
 	m := newMachine(9)
 	now := answerAtHomes(t, m, 4, 0, 85*time.Millisecond)
 	m.Arrive(now, newRequest(1, 1, 7, 1000))
-	is.True(onlyDispatch(t, m).Basis.Unread < 5000)
+	is.True(onlyDispatch(t, m).Basis.PrefillTokens < 5000)
 }
 
 // TestCopiesComeFromHomes fills the home of a prompt: another backend server is chosen and copies what the home is
@@ -52,7 +52,7 @@
 	is := is.New(t)
 	m := New(0, newMachine(0).random)
 	c := testConfig(9)
-	c.Pools[pool] = Pool{Engine: true, Memory: 500_000, CopyRate: 400_000}
+	c.Pools[pool] = Pool{Engine: true, CacheTokens: 500_000, CopyRate: 400_000}
 	m.Configure(0, c)
 	now := answerAtHomes(t, m, 40, 0, 85*time.Millisecond)
 	m.Arrive(now, newRequest(1, 1, 7, 1000))
@@ -65,7 +65,7 @@
 	third := onlyDispatch(t, m)
 	is.True(third.Backend != home)
 	is.Equal(third.CopyFrom, home)
-	is.True(third.Basis.Unread < 1500)
+	is.True(third.Basis.PrefillTokens < 1500)
 }
 
 // TestRouterLagDoesNotAffectSlowness has a router observe answers late because of its own lag, which must not make
@@ -81,7 +81,7 @@
 		r.Lag = lag
 		m.Arrive(now, r)
 		d := onlyDispatch(t, m)
-		m.Began(now+d.Basis.Delay+lag, r.ID)
+		m.RecordBegin(now+d.Basis.Delay+lag, r.ID)
 		m.Finish(now+time.Second, r.ID, Done, 50)
 	}
 	for _, s := range m.servers {
--- a/core/prompt/latency_test.go
+++ b/core/prompt/latency_test.go
@@ -79,19 +79,19 @@
 	const engines = 60
 	m := newMachine(engines)
 	m.SetRouters(2)
-	// It uses Soonest, as an engine whose answer was late may itself be considered slow.
+	// It uses MinDelay, as an engine whose answer was late may itself be considered slow.
 	expected := func(now model.Time, id model.RequestID) time.Duration {
 		m.Arrive(now, newRequest(id, 1, 1000+uint64(id), 1000))
-		return onlyDispatch(t, m).Basis.Soonest
+		return onlyDispatch(t, m).Basis.MinDelay
 	}
-	m.TakeLoadReport(0, "b", 1, LoadReport{Sequence: 1})
+	m.ApplyLoadReport(0, "b", 1, LoadReport{Sequence: 1})
 	before := expected(0, 1)
 	m.Finish(time.Second, 1, Done, 50)
 	now := 2 * time.Second
 	var sent []model.RequestID
 	for id := range model.RequestID(engines) {
 		m.Arrive(now, newRequest(id+2, 1, uint64(id), 1000))
-		for _, a := range m.Take() {
+		for _, a := range m.TakeActions() {
 			if d, ok := a.(Dispatch); ok {
 				sent = append(sent, d.ID)
 			}
@@ -101,10 +101,10 @@
 	for _, id := range m.order {
 		report.Loads = append(report.Loads, Load{Backend: id, Sent: 20_000})
 	}
-	m.TakeLoadReport(now+150*time.Millisecond, "b", 1, report)
+	m.ApplyLoadReport(now+150*time.Millisecond, "b", 1, report)
 	random.Shuffle(len(sent), func(i, j int) { sent[i], sent[j] = sent[j], sent[i] })
 	for _, id := range sent {
-		m.Began(now+2*before, id)
+		m.RecordBegin(now+2*before, id)
 		m.Finish(now+3*time.Second, id, Done, 50)
 	}
 	after := expected(now+20*time.Second, 1000)
--- a/core/prompt/levels.go
+++ b/core/prompt/levels.go
@@ -81,12 +81,12 @@
 	out := mostStarted
 	for _, account := range m.shares.order {
 		h := m.shares.accounts[account]
-		if h.inBurst().Begun <= 0 || h.recentlyLimited() {
+		if h.inBurst().Started <= 0 || h.recentlyLimited() {
 			continue
 		}
 		u := usageOf(h)
-		if u.Asked >= mostStarted && u.Begun/t.ConstrainedFraction+allowance < mostStarted {
-			out = min(out, u.Begun/t.LimitFraction+allowance)
+		if u.Requested >= mostStarted && u.Started/t.ConstrainedFraction+allowance < mostStarted {
+			out = min(out, u.Started/t.LimitFraction+allowance)
 		}
 	}
 	return out
@@ -124,10 +124,10 @@
 	var out demand
 	for _, account := range s.order {
 		a := usageOf(s.accounts[account])
-		out.started += a.Begun
-		out.mostStarted = max(out.mostStarted, a.Begun)
-		if a.Asked > 0 {
-			out.requested = append(out.requested, a.Asked)
+		out.started += a.Started
+		out.mostStarted = max(out.mostStarted, a.Started)
+		if a.Requested > 0 {
+			out.requested = append(out.requested, a.Requested)
 		}
 	}
 	slices.Sort(out.requested)
@@ -170,7 +170,7 @@
 
 // isLimited reports whether an account has started as much as a limit allows.
 func (h *history) isLimited(l levels) bool {
-	started, recent := h.inWindow().Begun, h.inBurst().Begun
+	started, recent := h.inWindow().Started, h.inBurst().Started
 	if started < l.mostStarted && h.isLocallyConstrained() {
 		return false
 	}
@@ -184,7 +184,7 @@
 	if h == nil {
 		return statusWithin
 	}
-	started, recent := h.inWindow().Begun, h.inBurst().Begun
+	started, recent := h.inWindow().Started, h.inBurst().Started
 	switch {
 	case recent > l.burstMinimum && h.isLimited(l):
 		return statusLimited
@@ -202,7 +202,7 @@
 	if h == nil || l.burstShare <= 0 {
 		return 0
 	}
-	return h.inBurst().Begun / l.burstShare
+	return h.inBurst().Started / l.burstShare
 }
 
 // startedFraction returns the fraction of a share that an account has started in the window.
@@ -211,5 +211,5 @@
 	if h == nil || share <= 0 {
 		return 0
 	}
-	return h.inWindow().Begun / share
+	return h.inWindow().Started / share
 }
--- a/core/prompt/limit_test.go
+++ b/core/prompt/limit_test.go
@@ -16,8 +16,8 @@
 	each := m.config.TokensPerSecond * sampleInterval.Seconds()
 	now := model.Time(0)
 	for range samples {
-		m.Count(1, 3*each, 1.2*each)
-		m.Count(2, requested*each, fraction*1.2*each)
+		m.AddUsage(1, 3*each, 1.2*each)
+		m.AddUsage(2, requested*each, fraction*1.2*each)
 		now += sampleInterval
 		m.now = now
 		m.Sample(now)
@@ -32,7 +32,7 @@
 	m, status := constrained(3, 0.4)
 	is.Equal(status, statusLimited)
 	m.Arrive(m.now, newRequest(1, 1, 7, 100))
-	_, refused := m.Take()[0].(Refuse) // although the engines are idle
+	_, refused := m.TakeActions()[0].(Refuse) // although the engines are idle
 	is.True(refused)
 	is.Equal(m.shareStatusOf(2, m.levels()), statusWithin)
 }
@@ -56,8 +56,8 @@
 	is.Equal(status, statusLimited)
 	each := m.config.TokensPerSecond * sampleInterval.Seconds()
 	for range samples - 3 {
-		m.Count(1, 3*each, 0.05*each)
-		m.Count(2, 3*each, 0.5*each)
+		m.AddUsage(1, 3*each, 0.05*each)
+		m.AddUsage(2, 3*each, 0.5*each)
 		m.now += sampleInterval
 		m.Sample(m.now)
 	}
@@ -72,8 +72,8 @@
 	is.Equal(status, statusLimited)
 	each := m.config.TokensPerSecond * sampleInterval.Seconds()
 	for range burstSamples + 1 {
-		m.Count(1, 3*each, 0)
-		m.Count(2, 3*each, 0.48*each)
+		m.AddUsage(1, 3*each, 0)
+		m.AddUsage(2, 3*each, 0.48*each)
 		m.now += sampleInterval
 		m.Sample(m.now)
 	}
@@ -81,7 +81,7 @@
 	is.True(m.shares.accounts[1].isLimited(l))
 	is.True(m.shareStatusOf(1, l) != statusLimited)
 	is.True(!m.shares.accounts[2].recentlyLimited())
-	m.Count(1, 0, 2*l.burstMinimum)
+	m.AddUsage(1, 0, 2*l.burstMinimum)
 	is.Equal(m.shareStatusOf(1, m.levels()), statusLimited)
 }
 
@@ -93,8 +93,8 @@
 	each := m.config.TokensPerSecond * sampleInterval.Seconds()
 	m.shares.accounts[2].limitedSamples |= 1
 	for range 3 {
-		m.Count(1, 3*each, 1.2*each)
-		m.Count(2, 3*each, 0.48*each)
+		m.AddUsage(1, 3*each, 1.2*each)
+		m.AddUsage(2, 3*each, 0.48*each)
 		m.now += sampleInterval
 		m.Sample(m.now)
 	}
@@ -112,8 +112,8 @@
 	m.Sample(0)
 	now := model.Time(0)
 	for range 3 {
-		m.Count(1, 0.5*second, 0.2*second)
-		m.Count(2, 0.5*second, 0.03*second)
+		m.AddUsage(1, 0.5*second, 0.2*second)
+		m.AddUsage(2, 0.5*second, 0.03*second)
 		now += sampleInterval
 		m.now = now
 		m.Sample(now)
@@ -132,14 +132,14 @@
 	m.Sample(0)
 	each := m.config.TokensPerSecond * sampleInterval.Seconds()
 	for range samples {
-		m.Count(1, 3*each, 1.2*each)
-		m.Count(2, 3*each, 0.6*each)
-		m.Count(3, 3*each, 0.2*each)
+		m.AddUsage(1, 3*each, 1.2*each)
+		m.AddUsage(2, 3*each, 0.6*each)
+		m.AddUsage(3, 3*each, 0.2*each)
 		m.now += sampleInterval
 		m.Sample(m.now)
 	}
 	l := m.levels()
-	is.True(m.Usage(2).Begun > l.windowLimit) // over the limit
+	is.True(m.Usage(2).Started > l.windowLimit) // over the limit
 	is.Equal(m.shareStatusOf(1, l), statusLimited)
 	is.Equal(m.shareStatusOf(2, l), statusWithin)
 	is.Equal(m.shareStatusOf(3, l), statusWithin)
@@ -152,17 +152,17 @@
 	is := is.New(t)
 	m, status := constrained(3, 0.4)
 	is.Equal(status, statusLimited)
-	requested := m.Usage(1).Asked
-	m.CountUnread(1, 0.8*requested)
+	requested := m.Usage(1).Requested
+	m.AddRefusedUnread(1, 0.8*requested)
 	is.Equal(m.shareStatusOf(1, m.levels()), statusLimited) // it has still started most
 	m.shares.accounts[1].refusedUnread = 0
-	m.Count(3, 2*requested, 1.2*m.Usage(1).Begun)
-	m.CountUnread(1, 0.1*requested)
+	m.AddUsage(3, 2*requested, 1.2*m.Usage(1).Started)
+	m.AddRefusedUnread(1, 0.1*requested)
 	is.Equal(m.shareStatusOf(1, m.levels()), statusLimited) // other routers may serve its other callers
-	m.CountUnread(1, 0.6*requested)
+	m.AddRefusedUnread(1, 0.6*requested)
 	is.True(m.shareStatusOf(1, m.levels()) != statusLimited)
 	for range 2 * samples { // now its router has time for all its requests
-		m.Count(1, requested/float64(samples), 0)
+		m.AddUsage(1, requested/float64(samples), 0)
 		m.now += sampleInterval
 		m.Sample(m.now)
 	}
--- a/core/prompt/loads.go
+++ b/core/prompt/loads.go
@@ -80,8 +80,8 @@
 	return report, complete
 }
 
-// Restate makes the next report include all running requests, and reports whether there are any.
-func (m *Machine) Restate() bool {
+// RefreshLoads makes the next report include all running requests, and reports whether there are any.
+func (m *Machine) RefreshLoads() bool {
 	running := false
 	for _, s := range m.servers {
 		s.reportedAt = min(s.reportedAt, m.now-refreshAfter)
@@ -100,15 +100,15 @@
 	return l
 }
 
-// TakeLoadReport applies a load report of a process of another router, and reports whether it is new.
-func (m *Machine) TakeLoadReport(now model.Time, router string, process uint32, w LoadReport) bool {
+// ApplyLoadReport applies a load report of a process of another router, and reports whether it is new.
+func (m *Machine) ApplyLoadReport(now model.Time, router string, process uint32, w LoadReport) bool {
 	m.now = max(m.now, now)
 	p := m.peers[router]
 	if p != nil && p.previousProcess == process {
 		return false
 	}
 	if p == nil || p.process != process {
-		m.ForgetRouter(router)
+		m.RemoveRouter(router)
 		next := &peerLoad{process: process, running: map[model.BackendID]uint32{}}
 		if p != nil {
 			next.previousProcess = p.process
@@ -135,7 +135,7 @@
 		}
 	}
 	for _, n := range w.Accounts {
-		m.shares.historyOf(n.Account).total.add(Usage{float64(n.Asked), float64(n.Begun)})
+		m.shares.historyOf(n.Account).total.add(Usage{float64(n.Requested), float64(n.Started)})
 	}
 	return true
 }
@@ -144,16 +144,16 @@
 // ignored.
 const previousProcessTTL = time.Second
 
-// Readmit accepts a router's process again that was taken for the previous one because a delayed report of the
+// AcceptProcess accepts a router's process again that was taken for the previous one because a delayed report of the
 // previous process arrived after its first. The caller must have verified that it is the current process.
-func (m *Machine) Readmit(now model.Time, router string, process uint32) {
+func (m *Machine) AcceptProcess(now model.Time, router string, process uint32) {
 	if p := m.peers[router]; p != nil && p.previousProcess == process && now >= p.lastReport+previousProcessTTL {
-		m.ForgetRouter(router)
+		m.RemoveRouter(router)
 	}
 }
 
-// NothingNew records that nothing has changed since a router's last report.
-func (m *Machine) NothingNew(now model.Time, router string) {
+// ConfirmUnchanged records that nothing has changed since a router's last report.
+func (m *Machine) ConfirmUnchanged(now model.Time, router string) {
 	m.now = max(m.now, now)
 	p := m.peers[router]
 	if p == nil {
@@ -180,8 +180,8 @@
 	return age
 }
 
-// MeanAge returns the mean time since the last contact with the other routers. A benchmark of package core uses it.
-func (m *Machine) MeanAge() time.Duration {
+// MeanReportAge returns the mean time since the last contact with the other routers. A benchmark of package core uses it.
+func (m *Machine) MeanReportAge() time.Duration {
 	if len(m.peers) == 0 {
 		return 0
 	}
@@ -192,24 +192,24 @@
 	return sum / time.Duration(len(m.peers))
 }
 
-// Heard is the state of the last contact with another router.
-type Heard struct {
+// PeerContact is the state of the last contact with another router.
+type PeerContact struct {
 	At       model.Time
 	Process  uint32
 	Sequence uint64 // of its last load report, 0 for none
 }
 
-// HeardOf returns the state of the last contact with a router.
-func (m *Machine) HeardOf(router string) Heard {
+// LastContact returns the state of the last contact with a router.
+func (m *Machine) LastContact(router string) PeerContact {
 	p := m.peers[router]
 	if p == nil {
-		return Heard{}
+		return PeerContact{}
 	}
-	return Heard{At: p.lastContact, Process: p.process, Sequence: p.sequence}
+	return PeerContact{At: p.lastContact, Process: p.process, Sequence: p.sequence}
 }
 
-// Knows reports whether the last report of a router came from the given process.
-func (m *Machine) Knows(router string, process uint32) bool {
+// IsCurrentProcess reports whether the last report of a router came from the given process.
+func (m *Machine) IsCurrentProcess(router string, process uint32) bool {
 	p := m.peers[router]
 	return p != nil && p.process == process
 }
@@ -227,8 +227,8 @@
 	}
 }
 
-// ForgetRouter removes a router and its running requests.
-func (m *Machine) ForgetRouter(router string) {
+// RemoveRouter removes a router and its running requests.
+func (m *Machine) RemoveRouter(router string) {
 	if p := m.peers[router]; p != nil {
 		m.removeRunning(p)
 		delete(m.peers, router)
--- a/core/prompt/place.go
+++ b/core/prompt/place.go
@@ -38,7 +38,7 @@
 	holder := m.holderOf(r)
 	for rank, id := range r.candidates {
 		s := m.servers[id]
-		if s == nil || !m.accepts(s) || slices.Contains(r.Except, id) {
+		if s == nil || !m.accepts(s) || slices.Contains(r.Exclude, id) {
 			continue
 		}
 		p := m.placeAt(s, r, holder)
--- a/core/prompt/prompt.go
+++ b/core/prompt/prompt.go
@@ -68,8 +68,8 @@
 type Pool struct {
 	// Engine reports whether its backend servers are engines, which prefill prompts.
 	Engine bool
-	// Memory is the cache size of each backend server, in tokens.
-	Memory int
+	// CacheTokens is the cache size of each backend server, in tokens.
+	CacheTokens int
 	// CopyRate is the rate at which a backend server copies what another caches, in tokens per second; 0 if copies
 	// are not supported.
 	CopyRate float64
@@ -192,7 +192,7 @@
 		s.Backend = b
 		s.engine = c.Pools[b.Pool].Engine
 		s.copyRate = c.Pools[b.Pool].CopyRate
-		s.cacheTokens = m.config.Tuning.CacheFraction * float64(c.Pools[b.Pool].Memory)
+		s.cacheTokens = m.config.Tuning.CacheFraction * float64(c.Pools[b.Pool].CacheTokens)
 		s.latency = m.latencyOf(b.Pool)
 		s.latency.setInitialRate(m.config.Tuning.rateOf(c.TokensPerSecond, engines[b.Pool]))
 	}
@@ -226,14 +226,14 @@
 	}
 }
 
-// Heed sets the book of notices that backend servers have sent about themselves.
-func (m *Machine) Heed(notices *notice.Book) { m.notices = notices }
+// SetNotices sets the book of notices that backend servers have sent about themselves.
+func (m *Machine) SetNotices(notices *notice.Book) { m.notices = notices }
 
 // SetRouters sets the number of live routers, this one included.
 func (m *Machine) SetRouters(n int) { m.routers = max(n, 1) }
 
-// Take returns the actions since the last call.
-func (m *Machine) Take() []Action {
+// TakeActions returns the actions since the last call.
+func (m *Machine) TakeActions() []Action {
 	out := m.actions
 	m.actions = nil
 	return out
@@ -266,8 +266,8 @@
 	m.processQueue()
 }
 
-// Sent reports whether a request was dispatched and is still running.
-func (m *Machine) Sent(id model.RequestID) bool {
+// Dispatched reports whether a request was dispatched and is still running.
+func (m *Machine) Dispatched(id model.RequestID) bool {
 	r := m.requests[id]
 	return r != nil && r.server != nil
 }
@@ -280,8 +280,8 @@
 	return 0
 }
 
-// Began records that the answer to a request has begun.
-func (m *Machine) Began(now model.Time, id model.RequestID) {
+// RecordBegin records that the answer to a request has begun.
+func (m *Machine) RecordBegin(now model.Time, id model.RequestID) {
 	m.now = max(m.now, now)
 	r := m.requests[id]
 	if r == nil || r.server == nil || r.began {
@@ -331,7 +331,7 @@
 // caller disconnected, it has failed.
 func (m *Machine) effectiveEnding(r *request, ending Ending) Ending {
 	silent := !r.began && r.Objective > 0 && m.now-r.flight.sent > silenceFactor*r.Objective
-	if ending == Left && silent {
+	if ending == Disconnected && silent {
 		return Failed
 	}
 	return ending
--- a/core/prompt/prompt_test.go
+++ b/core/prompt/prompt_test.go
@@ -17,7 +17,7 @@
 // testConfig returns a pool of engines that prefill 50,000 tokens a second each.
 func testConfig(engines int) Config {
 	c := Config{
-		Pools:           map[model.PoolID]Pool{pool: {Engine: true, Memory: 500_000}},
+		Pools:           map[model.PoolID]Pool{pool: {Engine: true, CacheTokens: 500_000}},
 		Backends:        map[model.BackendID]Backend{},
 		TokensPerSecond: float64(engines) * 33_334,
 	}
@@ -45,7 +45,7 @@
 // onlyDispatch returns the dispatch that must be the only action.
 func onlyDispatch(t *testing.T, m *Machine) Dispatch {
 	t.Helper()
-	actions := m.Take()
+	actions := m.TakeActions()
 	if len(actions) != 1 {
 		t.Fatalf("got %d actions, want 1: %v", len(actions), actions)
 	}
@@ -61,13 +61,13 @@
 	m := newMachine(4)
 	m.Arrive(0, newRequest(1, 1, 7, 1000))
 	first := onlyDispatch(t, m)
-	is.Equal(first.Basis.Unread, 11_000)
-	m.Began(300*time.Millisecond, 1)
+	is.Equal(first.Basis.PrefillTokens, 11_000)
+	m.RecordBegin(300*time.Millisecond, 1)
 	m.Finish(time.Second, 1, Done, 50)
 	m.Arrive(2*time.Second, newRequest(2, 1, 7, 1000))
 	second := onlyDispatch(t, m)
 	is.Equal(second.Backend, first.Backend)
-	is.Equal(second.Basis.Unread, 1000) // only its unshared part
+	is.Equal(second.Basis.PrefillTokens, 1000) // only its unshared part
 }
 
 // TestRoutersAgreeOnHome uses routers that have received no placements.
@@ -93,11 +93,11 @@
 	sent := onlyDispatch(t, a)
 	report, _ := a.ReportLoads()
 	report.Sequence = 1
-	is.True(b.TakeLoadReport(0, "a", 1, report))
+	is.True(b.ApplyLoadReport(0, "a", 1, report))
 	b.Arrive(time.Second, newRequest(1, 1, 7, 1000))
 	got := onlyDispatch(t, b)
 	is.Equal(got.Backend, sent.Backend)
-	is.Equal(got.Basis.Unread, 1000)
+	is.Equal(got.Basis.PrefillTokens, 1000)
 	again, _ := a.ReportLoads()
 	is.Equal(len(again.Placements), 0) // reported only once
 }
@@ -117,7 +117,7 @@
 	}
 	m.Finish(now, 61, Done, 50)
 	m.Arrive(now+time.Second, newRequest(100, 1, 7, 1000))
-	is.Equal(onlyDispatch(t, m).Basis.Unread, 11_000) // 660,000 tokens have been prefilled since
+	is.Equal(onlyDispatch(t, m).Basis.PrefillTokens, 11_000) // 660,000 tokens have been prefilled since
 }
 
 func TestLateAnswerLimitsPrefillEstimate(t *testing.T) {
@@ -146,7 +146,7 @@
 			hits++
 			ending = Failed
 		} else {
-			m.Began(now, id)
+			m.RecordBegin(now, id)
 		}
 		m.Finish(now, id, ending, 10)
 	}
@@ -160,11 +160,11 @@
 	is := is.New(t)
 	m := newMachine(2)
 	c := testConfig(2)
-	c.Pools[pool] = Pool{Engine: true, Memory: 500_000, CopyRate: 400_000}
+	c.Pools[pool] = Pool{Engine: true, CacheTokens: 500_000, CopyRate: 400_000}
 	m.Configure(0, c)
 	m.Arrive(0, newRequest(1, 1, 7, 1000))
 	holder := onlyDispatch(t, m).Backend
-	m.Began(250*time.Millisecond, 1)
+	m.RecordBegin(250*time.Millisecond, 1)
 	for id := model.RequestID(2); id < 10; id++ {
 		m.Arrive(time.Second, newRequest(id, 1, 7, 6000))
 		d := onlyDispatch(t, m)
@@ -174,7 +174,7 @@
 		}
 		is.Equal(d.CopyFrom, holder)
 		is.Equal(d.Copied, 10_000)
-		is.Equal(d.Basis.Unread, 6000) // only its unshared part
+		is.Equal(d.Basis.PrefillTokens, 6000) // only its unshared part
 		return
 	}
 	t.Fatal("no request was dispatched to the other backend server")
@@ -186,7 +186,7 @@
 	m := newMachine(2)
 	for id := model.RequestID(1); id < 10; id++ {
 		m.Arrive(0, newRequest(id, 1, 7, 1000))
-		for _, a := range m.Take() {
+		for _, a := range m.TakeActions() {
 			if d, ok := a.(Dispatch); ok {
 				is.Equal(d.CopyFrom, model.BackendID(0))
 			}
@@ -201,11 +201,11 @@
 	s := m.servers[model.Backend("engine-0")]
 	m.Arrive(0, newRequest(1, 1, 1, 100))
 	onlyDispatch(t, m)
-	m.Finish(100*time.Millisecond, 1, Left, 0)
+	m.Finish(100*time.Millisecond, 1, Disconnected, 0)
 	is.Equal(s.health.failures, 0.0)
 	m.Arrive(time.Second, newRequest(2, 1, 1, 100))
 	onlyDispatch(t, m)
-	m.Finish(4*time.Second, 2, Left, 0)
+	m.Finish(4*time.Second, 2, Disconnected, 0)
 	is.True(s.health.failures > 0)
 }
 
@@ -242,9 +242,9 @@
 	delete(c.Backends, model.Backend("engine-1"))
 	m.Configure(time.Minute, c)
 	m.Arrive(time.Minute, newRequest(50, 1, 1, 100))
-	is.Equal(len(m.Take()), 0) // it waits briefly for one
+	is.Equal(len(m.TakeActions()), 0) // it waits briefly for one
 	m.Tick(time.Minute + time.Second)
-	r, ok := m.Take()[0].(Refuse)
+	r, ok := m.TakeActions()[0].(Refuse)
 	is.True(ok)
 	is.Equal(r.Reason, NoBackend)
 }
@@ -253,7 +253,7 @@
 	is := is.New(t)
 	m := newMachine(2)
 	r := newRequest(1, 1, 7, 100)
-	r.Except = []model.BackendID{model.Backend("engine-0")}
+	r.Exclude = []model.BackendID{model.Backend("engine-0")}
 	m.Arrive(0, r)
 	is.Equal(onlyDispatch(t, m).Backend, model.Backend("engine-1"))
 }
@@ -269,7 +269,7 @@
 	for now < 900*time.Millisecond {
 		now += 10 * time.Millisecond
 		m.Tick(now)
-		for _, a := range m.Take() {
+		for _, a := range m.TakeActions() {
 			if r, ok := a.(Refuse); ok {
 				refusals++
 				is.True(r.Waited <= 210*time.Millisecond) // about a quarter of the objective
@@ -291,7 +291,7 @@
 
 // takeActions checks the actions: a request is dispatched once, and refused only before.
 func (d *randomMachine) takeActions() {
-	for _, a := range d.m.Take() {
+	for _, a := range d.m.TakeActions() {
 		switch a := a.(type) {
 		case Dispatch:
 			if sent, known := d.open[a.ID]; !known || sent {
@@ -337,7 +337,7 @@
 			case 0, 1:
 				d.arrive()
 			case 2:
-				d.m.Began(d.now, d.drawID())
+				d.m.RecordBegin(d.now, d.drawID())
 			case 3:
 				d.finish()
 			case 4:
@@ -346,7 +346,7 @@
 			d.takeActions()
 		}
 		for id := range d.open {
-			d.m.Finish(d.now, id, Left, 0)
+			d.m.Finish(d.now, id, Disconnected, 0)
 		}
 		if !d.m.Idle() || len(d.m.waiting) > 0 {
 			t.Fatal("requests remain")
@@ -367,8 +367,8 @@
 		id++
 		now += 10 * time.Millisecond
 		m.Arrive(now, newRequest(id, model.AccountID(id%16), uint64(id%55), 1000))
-		m.Take()
-		m.Began(now, id)
+		m.TakeActions()
+		m.RecordBegin(now, id)
 		m.Finish(now, id, Done, 50)
 	}
 }
--- a/core/prompt/queue.go
+++ b/core/prompt/queue.go
@@ -209,7 +209,7 @@
 	p, _ := m.best(r)
 	m.actions = append(m.actions, Refuse{
 		ID: r.ID, Reason: reason, RetryAfter: retryAfter, Waited: m.now - r.arrived, Basis: m.basis(r, p, l),
-		Holds: m.validFor(r, reason, retryAfter, p, l),
+		ValidFor: m.validFor(r, reason, retryAfter, p, l),
 	})
 }
 
@@ -268,18 +268,18 @@
 func (m *Machine) basis(r *request, p place, l levels) Basis {
 	status := m.shareStatusOf(r.Account, l)
 	out := Basis{
-		Stands: status.String(), Ahead: l.mostStarted,
-		Delay: p.delay, Unread: int(p.prefillTokens), Backlog: int(p.backlog), Soonest: p.minDelay,
-		Over: status != statusWithin, Had: m.startedFraction(r.Account, l.fairShare),
-		Lately: m.recentStartedFraction(r.Account, l), Owed: l.fairShare, Bound: l.windowLimit, Brief: l.burstLimit,
-		Age: m.oldestReportAge(),
+		ShareStatus: status.String(), MostStarted: l.mostStarted,
+		Delay: p.delay, PrefillTokens: int(p.prefillTokens), Backlog: int(p.backlog), MinDelay: p.minDelay,
+		OverShare: status != statusWithin, StartedFraction: m.startedFraction(r.Account, l.fairShare),
+		RecentStartedFraction: m.recentStartedFraction(r.Account, l), FairShare: l.fairShare, WindowLimit: l.windowLimit, BurstLimit: l.burstLimit,
+		OldestReportAge: m.oldestReportAge(),
 	}
 	if l.fairShare > 0 {
-		out.Asked = m.Usage(r.Account).Asked / l.fairShare
+		out.RequestedFraction = m.Usage(r.Account).Requested / l.fairShare
 	}
 	if s := p.server; s != nil {
-		out.Best, out.Slow = s.id, s.health.slowness()
-		out.Unheard = int(s.expectedUnreported(m.now) + s.assumedTokens)
+		out.Backend, out.Slowness = s.id, s.health.slowness()
+		out.UnreportedTokens = int(s.expectedUnreported(m.now) + s.assumedTokens)
 	}
 	return out
 }
--- a/core/prompt/queue_test.go
+++ b/core/prompt/queue_test.go
@@ -21,9 +21,9 @@
 	for i := range 300 {
 		m.Arrive(0, newRequest(model.RequestID(i+1), flood, uint64(i), 1000))
 	}
-	is.Equal(len(m.Take()), 300-maxWaitingPerAccount) // refused at once
+	is.Equal(len(m.TakeActions()), 300-maxWaitingPerAccount) // refused at once
 	m.Arrive(time.Millisecond, newRequest(1000, quiet, 7, 1000))
-	is.Equal(len(m.Take()), 0) // it waits
+	is.Equal(len(m.TakeActions()), 0) // it waits
 	is.True(m.Has(1000))
 }
 
@@ -59,12 +59,12 @@
 	m := newMachine(9)
 	owed := m.config.TokensPerSecond * window.Seconds()
 	for account := range model.AccountID(3) {
-		m.Count(account+1, 0, 0)
+		m.AddUsage(account+1, 0, 0)
 	}
 	m.Sample(0)
-	m.Count(1, 9*owed, 3*owed)
-	m.Count(2, 9*owed, 2.25*owed)
-	m.Count(3, 9*owed, 2.55*owed)
+	m.AddUsage(1, 9*owed, 3*owed)
+	m.AddUsage(2, 9*owed, 2.25*owed)
+	m.AddUsage(3, 9*owed, 2.55*owed)
 	l := m.levels()
 	is.Equal(m.shareStatusOf(2, l), statusWithin)
 	is.True(m.shareStatusOf(3, l) != statusWithin)
@@ -92,12 +92,12 @@
 	is := is.New(t)
 	m := newMachine(1)
 	m.Sample(0)
-	m.Count(1, 1e7, 1e7) // more than the capacity of all engines
-	m.Count(2, 1e7, 0)
+	m.AddUsage(1, 1e7, 1e7) // more than the capacity of all engines
+	m.AddUsage(2, 1e7, 0)
 	m.Arrive(0, newRequest(1, 2, 7, 1000))
 	onlyDispatch(t, m)
 	m.Arrive(0, newRequest(2, 1, 8, 1000))
-	actions := m.Take()
+	actions := m.TakeActions()
 	is.Equal(len(actions), 1)
 	refusal, ok := actions[0].(Refuse)
 	is.True(ok)
--- a/core/prompt/request.go
+++ b/core/prompt/request.go
@@ -19,8 +19,8 @@
 	// Lag is the processing delay of this router. Answers are observed later by the same time, which must not count
 	// against the backend server.
 	Lag time.Duration
-	// Except lists the backend servers that the request was dispatched to before.
-	Except []model.BackendID
+	// Exclude lists the backend servers that the request was dispatched to before.
+	Exclude []model.BackendID
 }
 
 // Action is an action for the caller to carry out: a Dispatch or a Refuse.
@@ -40,24 +40,24 @@
 
 // Basis holds the values on which a decision is based, for the log.
 type Basis struct {
-	Best    model.BackendID // the best backend server, 0 for none
-	Delay   time.Duration   // expected time until the answer begins there
-	Unread  int             // tokens of the prompt to prefill there
-	Backlog int             // tokens to prefill there before the prompt
-	// Unheard is the part of the backlog that other routers are expected to have sent but have not reported yet.
-	Unheard int
-	Slow    float64       // estimated slowness relative to the pool's prefill rate
-	Soonest time.Duration // least expected delay of the evaluated backend servers
-	Over    bool          // whether the account was over its share
-	Stands  string        // share status of the account
-	Ahead   float64       // most tokens that any account has started in the window
-	Had     float64       // fraction of the fair share that the account has started
-	Asked   float64       // fraction of the fair share that the account has requested
-	Owed    float64       // fair share of each account, in tokens per window
-	Bound   float64       // limit on what an account may start in the window, regardless of idle capacity
-	Brief   float64       // the same limit for the last burst period
-	Lately  float64       // fraction of its burst share that the account has started
-	Age     time.Duration // age of the oldest load report of another router
+	Backend       model.BackendID // the best backend server, 0 for none
+	Delay         time.Duration   // expected time until the answer begins there
+	PrefillTokens int             // tokens of the prompt to prefill there
+	Backlog       int             // tokens to prefill there before the prompt
+	// UnreportedTokens is the part of the backlog that other routers are expected to have sent but have not reported yet.
+	UnreportedTokens      int
+	Slowness              float64       // estimated slowness relative to the pool's prefill rate
+	MinDelay              time.Duration // least expected delay of the evaluated backend servers
+	OverShare             bool          // whether the account was over its share
+	ShareStatus           string        // share status of the account
+	MostStarted           float64       // most tokens that any account has started in the window
+	StartedFraction       float64       // fraction of the fair share that the account has started
+	RequestedFraction     float64       // fraction of the fair share that the account has requested
+	FairShare             float64       // fair share of each account, in tokens per window
+	WindowLimit           float64       // limit on what an account may start in the window, regardless of idle capacity
+	BurstLimit            float64       // the same limit for the last burst period
+	RecentStartedFraction float64       // fraction of its burst share that the account has started
+	OldestReportAge       time.Duration // age of the oldest load report of another router
 }
 
 // Reason is the reason of a refusal.
@@ -80,8 +80,8 @@
 	RetryAfter time.Duration
 	Waited     time.Duration
 	Basis      Basis
-	// Holds is how long the reason is expected to apply to other requests of the account and route.
-	Holds time.Duration
+	// ValidFor is how long the reason is expected to apply to other requests of the account and route.
+	ValidFor time.Duration
 }
 
 func (Dispatch) action() {}
@@ -92,11 +92,11 @@
 
 // Outcomes of dispatched requests.
 const (
-	Done     Ending = iota // the answer is complete
-	Left                   // the caller disconnected
-	Rejected               // the backend server rejected the request without running it
-	Failed                 // the backend server failed or broke off the answer
-	NotSent                // the backend server is unreachable and nothing was sent
+	Done         Ending = iota // the answer is complete
+	Disconnected               // the caller disconnected
+	Rejected                   // the backend server rejected the request without running it
+	Failed                     // the backend server failed or broke off the answer
+	NotSent                    // the backend server is unreachable and nothing was sent
 )
 
 // CostOf returns the cost of a request that counts towards shares, in tokens: 1 for each prompt token and
--- a/core/prompt/rest_test.go
+++ b/core/prompt/rest_test.go
@@ -28,7 +28,7 @@
 	for i := range servers {
 		n.config.Backends[model.BackendID(i+1)] = Backend{Name: fmt.Sprint("server-", i+1), Pool: pool, Near: true, Slots: 8}
 	}
-	n.Heed(n.book)
+	n.SetNotices(n.book)
 	n.Configure(0, n.config)
 	return n
 }
@@ -39,7 +39,7 @@
 	prompt := model.Prompt{Tokens: 100, Parts: []model.Part{{ID: uint64(n.lastID), Tokens: 60}, {ID: uint64(n.lastID) << 32, Tokens: 40}}}
 	n.Arrive(now, Request{ID: n.lastID, Pool: pool, Prompt: prompt, Objective: 300 * time.Millisecond, Wait: time.Second})
 	for until := now + 300*time.Millisecond; ; now += passInterval {
-		if actions := n.Take(); len(actions) > 0 {
+		if actions := n.TakeActions(); len(actions) > 0 {
 			return actions[0]
 		}
 		if now > until {
--- a/core/prompt/service_test.go
+++ b/core/prompt/service_test.go
@@ -94,7 +94,7 @@
 	for i, m := range w.fleet {
 		m.SetRouters(routers)
 		w.books[m] = notice.New()
-		m.Heed(w.books[m])
+		m.SetNotices(w.books[m])
 		w.tick(m)
 		w.report(i, 1)
 	}
@@ -116,7 +116,7 @@
 	w.clock.After(reportInterval, func() {
 		for j, o := range w.fleet {
 			if j != i {
-				o.TakeLoadReport(w.clock.Now(), fmt.Sprint(i), 1, report)
+				o.ApplyLoadReport(w.clock.Now(), fmt.Sprint(i), 1, report)
 			}
 		}
 		w.report(i, sequence+1)
@@ -134,7 +134,7 @@
 }
 
 func (w *serviceSimulation) act(m *Machine) {
-	for _, a := range m.Take() {
+	for _, a := range m.TakeActions() {
 		switch a := a.(type) {
 		case Dispatch:
 			w.clock.After(roundTrip/2, func() { w.arrive(m, w.servers[a.Backend], a.ID) })
--- a/core/prompt/shares.go
+++ b/core/prompt/shares.go
@@ -26,8 +26,8 @@
 // Usage is how many tokens an account has requested and how many of these have been started. Only differences between
 // two values are meaningful.
 type Usage struct {
-	Asked float64
-	Begun float64
+	Requested float64
+	Started   float64
 }
 
 // history holds an account's usage over the window.
@@ -55,13 +55,13 @@
 // usage at the beginning of the history.
 func (h *history) inWindow() Usage {
 	oldest := h.ring[(h.newest+1)%samples]
-	return Usage{Asked: max(h.total.Asked-oldest.Asked, 0), Begun: max(h.total.Begun-oldest.Begun, 0)}
+	return Usage{Requested: max(h.total.Requested-oldest.Requested, 0), Started: max(h.total.Started-oldest.Started, 0)}
 }
 
 // inBurst returns the usage within the burst period, less up to one sample interval.
 func (h *history) inBurst() Usage {
 	oldest := h.ring[(h.newest+samples+1-burstSamples)%samples]
-	return Usage{Asked: max(h.total.Asked-oldest.Asked, 0), Begun: max(h.total.Begun-oldest.Begun, 0)}
+	return Usage{Requested: max(h.total.Requested-oldest.Requested, 0), Started: max(h.total.Started-oldest.Started, 0)}
 }
 
 // shares computes the max-min share of each account. Each router counts what is requested and started for an account
@@ -87,17 +87,17 @@
 	return h
 }
 
-// Count adds to the tokens that an account has requested at this router and to those started. A negative value of
+// AddUsage adds to the tokens that an account has requested at this router and to those started. A negative value of
 // started returns the cost of a request that was not run in the end.
-func (m *Machine) Count(account model.AccountID, requested, started float64) {
+func (m *Machine) AddUsage(account model.AccountID, requested, started float64) {
 	h := m.shares.historyOf(account)
 	h.total.add(Usage{requested, started})
 	h.unreported.add(Usage{requested, started})
 }
 
-// CountUnread adds tokens of requests that this router refused unread to what an account has requested.
-func (m *Machine) CountUnread(account model.AccountID, requested float64) {
-	m.Count(account, requested, 0)
+// AddRefusedUnread adds tokens of requests that this router refused unread to what an account has requested.
+func (m *Machine) AddRefusedUnread(account model.AccountID, requested float64) {
+	m.AddUsage(account, requested, 0)
 	m.shares.historyOf(account).refusedUnread += requested
 }
 
@@ -108,27 +108,27 @@
 // isLocallyConstrained reports whether this router is too busy for what the account requests. What the account starts
 // here then does not prevent other accounts from reaching the same share.
 func (h *history) isLocallyConstrained() bool {
-	return h.refusedUnread > refusedUnreadFraction*h.inWindow().Asked
+	return h.refusedUnread > refusedUnreadFraction*h.inWindow().Requested
 }
 
 func (a *Usage) add(b Usage) {
-	a.Asked += b.Asked
-	a.Begun += b.Begun
+	a.Requested += b.Requested
+	a.Started += b.Started
 }
 
 // AccountIncrement is what an account has requested and started at a router since the report before, in tokens.
 type AccountIncrement struct {
-	Account model.AccountID
-	Asked   int64
-	Begun   int64
+	Account   model.AccountID
+	Requested int64
+	Started   int64
 }
 
 // takeIncrement returns the usage of an account that has not been reported to the other routers, and marks it as
 // reported.
 func (h *history) takeIncrement(account model.AccountID) (AccountIncrement, bool) {
-	n := AccountIncrement{Account: account, Asked: int64(h.unreported.Asked), Begun: int64(h.unreported.Begun)}
-	h.unreported.add(Usage{-float64(n.Asked), -float64(n.Begun)})
-	return n, n.Asked != 0 || n.Begun != 0
+	n := AccountIncrement{Account: account, Requested: int64(h.unreported.Requested), Started: int64(h.unreported.Started)}
+	h.unreported.add(Usage{-float64(n.Requested), -float64(n.Started)})
+	return n, n.Requested != 0 || n.Started != 0
 }
 
 // Usage returns what an account has requested and started in the window.
@@ -139,10 +139,10 @@
 	return Usage{}
 }
 
-// Begun returns the tokens that an account has started on all routers since this router's start, as far as reported.
-func (m *Machine) Begun(account model.AccountID) float64 {
+// TotalStarted returns the tokens that an account has started on all routers since this router's start, as far as reported.
+func (m *Machine) TotalStarted(account model.AccountID) float64 {
 	if h := m.shares.accounts[account]; h != nil {
-		return h.total.Begun
+		return h.total.Started
 	}
 	return 0
 }
@@ -158,7 +158,7 @@
 		}
 		requested := 0.0
 		for _, h := range m.shares.accounts {
-			requested += h.inWindow().Asked
+			requested += h.inWindow().Requested
 			h.refusedUnread *= refusedUnreadDecay
 			h.newest = (h.newest + 1) % samples
 			h.ring[h.newest] = h.total
--- a/core/prompt/shares_test.go
+++ b/core/prompt/shares_test.go
@@ -53,9 +53,9 @@
 func TestWindowExpiresUsage(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
-	m.Count(1, 0, 0)
+	m.AddUsage(1, 0, 0)
 	m.Sample(0)
-	m.Count(1, 100, 50)
+	m.AddUsage(1, 100, 50)
 	for now := time.Duration(0); now < window-sampleInterval; now += sampleInterval {
 		m.Sample(now)
 		is.Equal(m.shares.accounts[1].inWindow(), Usage{100, 50})
@@ -64,8 +64,8 @@
 		m.Sample(now)
 	}
 	is.Equal(m.shares.accounts[1].inWindow(), Usage{})
-	m.Count(1, 40, 0)
-	is.Equal(m.shares.accounts[1].inWindow(), Usage{Asked: 40})
+	m.AddUsage(1, 40, 0)
+	is.Equal(m.shares.accounts[1].inWindow(), Usage{Requested: 40})
 }
 
 // TestBurstLimitsWindowShare has an account start more at once than its share of a second's capacity, though the
@@ -76,8 +76,8 @@
 	m := newMachine(9)
 	second := m.config.TokensPerSecond
 	m.Sample(0)
-	m.Count(1, 1.5*second, 0.9*second)
-	m.Count(2, 0.8*second, 0.2*second)
+	m.AddUsage(1, 1.5*second, 0.9*second)
+	m.AddUsage(2, 0.8*second, 0.2*second)
 	l := m.levels()
 	is.True(l.sufficient) // in four seconds
 	is.Equal(m.shareStatusOf(1, l), statusOver)
@@ -97,11 +97,11 @@
 	m := newMachine(9)
 	second := m.config.TokensPerSecond
 	m.Sample(0)
-	m.Count(1, 1.2*second, 0)
+	m.AddUsage(1, 1.2*second, 0)
 	for i := range burstSamples {
 		m.Sample(model.Time(i+1) * sampleInterval)
 	}
-	m.Count(1, 0, 1.2*second)
-	m.Count(2, 0.1*second, 0)
+	m.AddUsage(1, 0, 1.2*second)
+	m.AddUsage(2, 0.1*second, 0)
 	is.Equal(m.shareStatusOf(1, m.levels()), statusWithin)
 }
--- a/core/prompt/startup_test.go
+++ b/core/prompt/startup_test.go
@@ -17,14 +17,14 @@
 		m := newMachine(4)
 		m.SetRouters(routers)
 		if hear {
-			m.TakeLoadReport(0, "other", 1, LoadReport{Sequence: 1})
+			m.ApplyLoadReport(0, "other", 1, LoadReport{Sequence: 1})
 		}
 		for i := range 10 {
 			m.Arrive(0, newRequest(model.RequestID(i), 1, uint64(i), 1000))
 			m.lastPass = -passInterval // process each at once
 		}
 		n := 0
-		for _, a := range m.Take() {
+		for _, a := range m.TakeActions() {
 			if _, ok := a.(Dispatch); ok {
 				n++
 			}
--- a/core/prompt/validity_test.go
+++ b/core/prompt/validity_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	for now := time.Duration(0); now < time.Second; now += passInterval {
 		m.Tick(now)
-		for _, a := range m.Take() {
+		for _, a := range m.TakeActions() {
 			if r, ok := a.(Refuse); ok {
 				return r
 			}
@@ -24,7 +24,7 @@
 	return Refuse{}
 }
 
-// TestRefusalValidity checks Holds: a refusal for lack of room applies until an engine has prefilled part of its
+// TestRefusalValidity checks ValidFor: a refusal for lack of room applies until an engine has prefilled part of its
 // backlog. A refusal over the share applies to other prompts only if the account is limited.
 func TestRefusalValidity(t *testing.T) {
 	is := is.New(t)
@@ -36,31 +36,31 @@
 	m.Arrive(0, in)
 	r := firstRefusal(t, m)
 	is.Equal(r.Reason, NoRoom)
-	is.True(r.Holds > time.Second && r.Holds < 2*time.Second)
+	is.True(r.ValidFor > time.Second && r.ValidFor < 2*time.Second)
 
 	for _, behind := range []bool{false, true} {
 		m = newMachine(1)
 		owed := m.config.TokensPerSecond * window.Seconds()
-		m.Count(1, 0, 0)
-		m.Count(2, 0, 0)
+		m.AddUsage(1, 0, 0)
+		m.AddUsage(2, 0, 0)
 		m.Sample(0)
-		m.Count(1, 9*owed, 3*owed)
-		m.Count(2, 9*owed, 3*owed)
+		m.AddUsage(1, 9*owed, 3*owed)
+		m.AddUsage(2, 9*owed, 3*owed)
 		if behind { // the other account is constrained
-			m.Count(2, 0, -2.5*owed)
+			m.AddUsage(2, 0, -2.5*owed)
 		}
 		m.Arrive(0, newRequest(1, 1, 8, 1000))
 		r = firstRefusal(t, m)
 		is.Equal(r.Reason, OverShare)
-		is.Equal(r.Holds > 0, behind)
-		is.True(r.Holds <= sampleInterval)
+		is.Equal(r.ValidFor > 0, behind)
+		is.True(r.ValidFor <= sampleInterval)
 	}
 
 	m = newMachine(1)
 	in = newRequest(3, 1, 7, 1000)
-	in.Except = []model.BackendID{m.order[0]}
+	in.Exclude = []model.BackendID{m.order[0]}
 	m.Arrive(0, in)
 	r = firstRefusal(t, m)
 	is.Equal(r.Reason, NoBackend)
-	is.Equal(r.Holds, time.Duration(0)) // other requests may be dispatched there
+	is.Equal(r.ValidFor, time.Duration(0)) // other requests may be dispatched there
 }
--- a/core/reportdelivery_test.go
+++ b/core/reportdelivery_test.go
@@ -35,7 +35,7 @@
 	out := map[[2]string]bool{}
 	for _, n := range f.nodes {
 		for _, o := range f.nodes {
-			if n != o && !n.down && !o.down && n.core.prompt.HeardOf(o.name).At < since {
+			if n != o && !n.down && !o.down && n.core.prompt.LastContact(o.name).At < since {
 				out[[2]string{n.name, o.name}] = true
 			}
 		}
@@ -117,7 +117,7 @@
 		age := time.Duration(0)
 		for _, o := range f.nodes {
 			if n != o {
-				age = max(age, f.time.Now()-n.core.prompt.HeardOf(o.name).At)
+				age = max(age, f.time.Now()-n.core.prompt.LastContact(o.name).At)
 			}
 		}
 		out = append(out, age)
@@ -155,7 +155,7 @@
 	late := &wire.Loads{Router: model.HashName(f.nodes[2].name), Process: 77, Sequence: 1000}
 	is.True(f.nodes[5].core.applyLoadReport(late))
 	f.runUntil(f.time.Now() + 3*time.Second)
-	is.Equal(f.nodes[5].core.prompt.HeardOf(f.nodes[2].name).Process, uint32(f.nodes[2].boot))
+	is.Equal(f.nodes[5].core.prompt.LastContact(f.nodes[2].name).Process, uint32(f.nodes[2].boot))
 }
 
 // recoveryBound is the maximum time, once datagrams arrive again, until each router receives the reports of each other:
--- a/core/reportrequests.go
+++ b/core/reportrequests.go
@@ -63,7 +63,7 @@
 	var out []string
 	for _, name := range c.members.Names() {
 		switch {
-		case c.now <= c.prompt.HeardOf(name).At+requestAfter:
+		case c.now <= c.prompt.LastContact(name).At+requestAfter:
 			delete(sent, name)
 		case c.now > sent[name]+requestAfter:
 			out = append(out, name)
@@ -78,7 +78,7 @@
 		c.askDead(name)
 		return
 	}
-	request := &wire.Loads{Router: model.HashName(name), Process: uint32(m.Boot), Sequence: c.prompt.HeardOf(name).Sequence}
+	request := &wire.Loads{Router: model.HashName(name), Process: uint32(m.Boot), Sequence: c.prompt.LastContact(name).Sequence}
 	c.announceSelf(name)
 	c.appendLoads(name, []*wire.Loads{request}, wire.PassOn_PASS_ON_NOBODY)
 }
@@ -91,7 +91,7 @@
 		return
 	}
 	requesters[from] = c.now
-	if c.prompt.Restate() {
+	if c.prompt.RefreshLoads() {
 		l.changed = true
 	}
 	l.presence.lastHeartbeat = c.now - heartbeatInterval
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -54,10 +54,10 @@
 			f.submitPrompt(n, account, tokens, output)
 		}
 		if now >= 25*time.Second {
-			is.True(restarted.core.prompt.Usage(account).Asked < 1.2*inWindow)
+			is.True(restarted.core.prompt.Usage(account).Requested < 1.2*inWindow)
 		}
 	}
-	is.True(restarted.core.prompt.Usage(account).Asked > 0.8*inWindow)
+	is.True(restarted.core.prompt.Usage(account).Requested > 0.8*inWindow)
 }
 
 // TestMovedRouterIsFoundAtOnce guards against a fleet that keeps sending to the earlier address of a router that was
--- a/core/view.go
+++ b/core/view.go
@@ -102,7 +102,7 @@
 	if c.config.Policy == nil || c.config.Policy.ByPrompt == nil {
 		return c.ledger.Virtual(key).Tokens()
 	}
-	return c.prompt.Begun(key.Account) / c.config.Accounts[key.Account].Weight
+	return c.prompt.TotalStarted(key.Account) / c.config.Accounts[key.Account].Weight
 }
 
 // Live returns how many routers are live, this one included.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -237,7 +237,7 @@
 // handleRefusal answers a request that the core refuses: as not admitted if it has never run, otherwise with the
 // outcome of its last send.
 func (a *attempt) handleRefusal(d scheduler.Decision) {
-	best := a.service.generation.InForce().Core.Backends[d.Basis.Best] // the zero value for none
+	best := a.service.generation.InForce().Core.Backends[d.Basis.Backend] // the zero value for none
 	logBasis(a.log("refused"), d.Basis).Str("reason", string(d.Refusal)).Str("backend", best.Name).
 		Dur("waited_ms", d.Waited).Dur("retry_after_ms", d.RetryAfter).Int("sends", a.sends).
 		Msg("request refused")
@@ -280,10 +280,10 @@
 
 // logBasis adds the basis of a decision to a log line.
 func logBasis(line *zerolog.Event, b prompt.Basis) *zerolog.Event {
-	return line.Dur("delay_ms", b.Delay).Dur("soonest_ms", b.Soonest).Int("unread", b.Unread).
-		Int("backlog", b.Backlog).Int("unheard", b.Unheard).Float64("slowness", b.Slow).
-		Bool("over_share", b.Over).Str("standing", b.Stands).Float64("best_begun", b.Ahead).Float64("share_had", b.Had).Float64("share_asked", b.Asked).
-		Float64("share_lately", b.Lately).Float64("owed", b.Owed).Float64("bound", b.Bound).Float64("bound_lately", b.Brief).Dur("loads_age_ms", b.Age)
+	return line.Dur("delay_ms", b.Delay).Dur("soonest_ms", b.MinDelay).Int("unread", b.PrefillTokens).
+		Int("backlog", b.Backlog).Int("unheard", b.UnreportedTokens).Float64("slowness", b.Slowness).
+		Bool("over_share", b.OverShare).Str("standing", b.ShareStatus).Float64("best_begun", b.MostStarted).Float64("share_had", b.StartedFraction).Float64("share_asked", b.RequestedFraction).
+		Float64("share_lately", b.RecentStartedFraction).Float64("owed", b.FairShare).Float64("bound", b.WindowLimit).Float64("bound_lately", b.BurstLimit).Dur("loads_age_ms", b.OldestReportAge)
 }
 
 // endExpired ends a request of which nothing is being sent, after its deadline has passed or its caller has left.
