--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	// Part is the fraction of a request's objective within which a decision is due. A caller that is refused within a
+	// DecisionFraction is the fraction of a request's objective within which a decision is due. A caller that is refused within a
 	// quarter of its objective can still be served in time when it retries; the round trip to the router takes some of
 	// that.
-	Part = 1.0 / 8
+	DecisionFraction = 1.0 / 8
 	// minDecisionTime is the least time in which a whole core makes one decision. The window never exceeds the number
 	// of decisions that are possible in time at this rate.
 	minDecisionTime = 250 * time.Microsecond
@@ -76,36 +76,36 @@
 	StreamLimitReached Reason = "laden"   // the router carries as many streams as it can pass on in time
 )
 
-// Request is the information about a request on which Arrive decides.
+// Request is the information about a request on which Admit decides.
 type Request struct {
-	Account model.AccountID
-	Route   uint32        // hash of the route's name
-	Within  time.Duration // time within which the decision is due
+	Account        model.AccountID
+	Route          uint32        // hash of the route's name
+	DecisionBudget time.Duration // time within which the decision is due
 	// Stream reports whether the response is passed on in parts, the first of them due within Objective.
-	Stream    bool
-	Objective time.Duration
-	First     bool          // first request of its connection
-	Late      time.Duration // mean scheduling delay of the router's process
+	Stream          bool
+	Objective       time.Duration
+	FirstOnConn     bool          // first request of its connection
+	SchedulingDelay time.Duration // mean scheduling delay of the router's process
 }
 
 // Decision is the scheduler's decision on an admitted request.
 type Decision struct {
 	Took    time.Duration // since the header was read, without the time spent waiting for capacity
 	Refused bool
-	// Holds is how long the reason of a refusal is expected to apply to the account and route.
-	Holds time.Duration
+	// ValidFor is how long the reason of a refusal is expected to apply to the account and route.
+	ValidFor time.Duration
 }
 
 // Verdict is the decision on a header.
 type Verdict struct {
-	Reason  Reason
-	Pending int // requests of the account that await a decision
-	Window  int // limit of requests, of all accounts, that await a decision
-	Carried int // current streams
-	Bound   int // limit of streams, 0 for none
+	Reason      Reason
+	Pending     int // requests of the account that await a decision
+	Window      int // limit of requests, of all accounts, that await a decision
+	Streams     int // current streams
+	StreamLimit int // limit of streams, 0 for none
 }
 
-// Ticket represents an admitted request. It is returned exactly once, by Decided or Left.
+// Ticket represents an admitted request. It is returned exactly once, by Decided or Abandoned.
 type Ticket struct{ request Request }
 
 // Gate is the state machine of admission. It does no I/O and reads no clock, and is not safe for concurrent use.
@@ -140,13 +140,13 @@
 	}
 }
 
-// Arrive decides on a header. The ticket is valid if the reason is Admitted.
-func (g *Gate) Arrive(now model.Time, r Request) (Verdict, Ticket) {
+// Admit decides on a header. The ticket is valid if the reason is Admitted.
+func (g *Gate) Admit(now model.Time, r Request) (Verdict, Ticket) {
 	if r.Stream {
-		g.streams.update(now, r.Late, r.Objective)
+		g.streams.update(now, r.SchedulingDelay, r.Objective)
 	}
 	v := g.evaluate(now, r)
-	if r.First {
+	if r.FirstOnConn {
 		g.recordConn(v.Reason != Admitted)
 	}
 	if v.Reason != Admitted {
@@ -177,7 +177,7 @@
 func (g *Gate) evaluate(now model.Time, r Request) Verdict {
 	own := g.accounts[r.Account]
 	window := g.windowFor(r)
-	v := Verdict{Pending: own, Window: int(window), Carried: g.streams.active, Bound: g.streams.reportedLimit()}
+	v := Verdict{Pending: own, Window: int(window), Streams: g.streams.active, StreamLimit: g.streams.reportedLimit()}
 	underPressure := float64(g.pending) >= pressureThreshold*window
 	switch {
 	case r.Stream && !g.streams.allows(r.Account):
@@ -192,9 +192,9 @@
 }
 
 // windowFor returns how many requests may await a decision when r arrives, limited to what can be decided within
-// r.Within.
+// r.DecisionBudget.
 func (g *Gate) windowFor(r Request) float64 {
-	return min(g.window, max(float64(r.Within/g.minDecision), minWindow))
+	return min(g.window, max(float64(r.DecisionBudget/g.minDecision), minWindow))
 }
 
 // Decided records the scheduler's decision on an admitted request.
@@ -206,15 +206,15 @@
 		delete(g.refusals, s)
 		return
 	}
-	if d.Holds > 0 {
-		g.refusals[s] = now + min(d.Holds, maxRefusalTTL)
+	if d.ValidFor > 0 {
+		g.refusals[s] = now + min(d.ValidFor, maxRefusalTTL)
 	}
 }
 
 // adjustWindow adjusts the window by the time that a decision took.
 func (g *Gate) adjustWindow(now model.Time, r Request, took time.Duration) {
 	switch {
-	case took > r.Within:
+	case took > r.DecisionBudget:
 		g.lastLate = now
 		if now >= g.noDecreaseUntil {
 			g.window = max(min(g.windowFor(r), maxWindow/decreaseFactor)*decreaseFactor, minWindow)
@@ -223,24 +223,24 @@
 	case math.IsInf(g.window, 1):
 	case now > g.lastLate+windowExpiry:
 		g.window = math.Inf(1)
-	case took <= time.Duration(growthThreshold*float64(r.Within)):
+	case took <= time.Duration(growthThreshold*float64(r.DecisionBudget)):
 		g.window = min(g.window+1/g.window, maxWindow)
 	}
 }
 
 // Ended records the end of an admitted request, and of its stream. It is called exactly once for each, after Decided
-// or Left.
+// or Abandoned.
 func (g *Gate) Ended(t Ticket) {
 	if t.request.Stream {
 		g.streams.add(t.request.Account, -1)
 	}
 }
 
-// Carried returns the number of current streams and its limit, which is infinite while there is no scheduling delay.
-func (g *Gate) Carried() (active int, limit float64) { return g.streams.active, g.streams.limit }
+// Streams returns the number of current streams and its limit, which is infinite while there is no scheduling delay.
+func (g *Gate) Streams() (active int, limit float64) { return g.streams.active, g.streams.limit }
 
-// Left records that an admitted request ended before a decision.
-func (g *Gate) Left(t Ticket) { g.addPending(t.request.Account, -1) }
+// Abandoned records that an admitted request ended before a decision.
+func (g *Gate) Abandoned(t Ticket) { g.addPending(t.request.Account, -1) }
 
 // Pending returns the number of requests that await a decision.
 func (g *Gate) Pending() int { return g.pending }
@@ -256,8 +256,8 @@
 	}
 }
 
-// Forget deletes expired refusals. It must be called from time to time.
-func (g *Gate) Forget(now model.Time) {
+// DeleteExpired deletes expired refusals. It must be called from time to time.
+func (g *Gate) DeleteExpired(now model.Time) {
 	for s, until := range g.refusals {
 		if now >= until {
 			delete(g.refusals, s)
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -20,7 +20,7 @@
 )
 
 func admit(g *Gate, now model.Time, account model.AccountID) (Verdict, Ticket) {
-	return g.Arrive(now, Request{Account: account, Route: route, Within: within})
+	return g.Admit(now, Request{Account: account, Route: route, DecisionBudget: within})
 }
 
 // TestIdleRouterAdmitsBurst checks that sixty simultaneous requests of one account are all admitted.
@@ -119,14 +119,14 @@
 		_, _ = admit(g, now, hot)
 		_, _ = admit(g, now, quiet)
 		_, _ = admit(g, now, quiet)
-		g.Decided(now, first, Decision{Took: 4 * time.Millisecond, Refused: true, Holds: 20 * time.Millisecond})
+		g.Decided(now, first, Decision{Took: 4 * time.Millisecond, Refused: true, ValidFor: 20 * time.Millisecond})
 		v, _ := admit(g, now+10*time.Millisecond, hot)
 		is.Equal(v.Reason == RecentRefusal, underPressure)
-		other, _ := g.Arrive(now+10*time.Millisecond, Request{Account: hot, Route: route + 1, Within: within})
+		other, _ := g.Admit(now+10*time.Millisecond, Request{Account: hot, Route: route + 1, DecisionBudget: within})
 		is.Equal(other.Reason, Admitted)
 		v, _ = admit(g, now+10*time.Millisecond, quiet)
 		is.Equal(v.Reason, Admitted)
-		g.Left(Ticket{request: Request{Account: hot}})
+		g.Abandoned(Ticket{request: Request{Account: hot}})
 		v, _ = admit(g, now+21*time.Millisecond, hot)
 		is.Equal(v.Reason, Admitted)
 	}
@@ -141,7 +141,7 @@
 	_, a := admit(g, now, hot)
 	_, b := admit(g, now, hot)
 	_, _ = admit(g, now, hot)
-	g.Decided(now, a, Decision{Took: 4 * time.Millisecond, Refused: true, Holds: maxRefusalTTL})
+	g.Decided(now, a, Decision{Took: 4 * time.Millisecond, Refused: true, ValidFor: maxRefusalTTL})
 	g.Decided(now, b, Decision{Took: 4 * time.Millisecond})
 	v, _ := admit(g, now+time.Millisecond, hot)
 	is.Equal(v.Reason, Admitted)
@@ -173,13 +173,13 @@
 	ticket := d.tickets[which]
 	d.tickets = append(d.tickets[:which], d.tickets[which+1:]...)
 	if rapid.Bool().Draw(d.T, "left") {
-		d.gate.Left(ticket)
+		d.gate.Abandoned(ticket)
 		return
 	}
 	d.gate.Decided(d.now, ticket, Decision{
-		Took:    time.Duration(rapid.IntRange(0, 100).Draw(d.T, "took")) * time.Millisecond,
-		Refused: rapid.Bool().Draw(d.T, "refused"),
-		Holds:   time.Duration(rapid.IntRange(-5, 500).Draw(d.T, "holds")) * time.Millisecond,
+		Took:     time.Duration(rapid.IntRange(0, 100).Draw(d.T, "took")) * time.Millisecond,
+		Refused:  rapid.Bool().Draw(d.T, "refused"),
+		ValidFor: time.Duration(rapid.IntRange(-5, 500).Draw(d.T, "holds")) * time.Millisecond,
 	})
 }
 
@@ -212,7 +212,7 @@
 			d.checkState()
 		}
 		for _, ticket := range d.tickets {
-			d.gate.Left(ticket)
+			d.gate.Abandoned(ticket)
 		}
 		if d.gate.Pending() != 0 || len(d.gate.accounts) != 0 {
 			t.Fatal("requests still pending after all tickets were returned")
@@ -228,7 +228,7 @@
 	}
 	for b.Loop() {
 		if v, ticket := admit(g, 0, quiet); v.Reason == Admitted {
-			g.Left(ticket)
+			g.Abandoned(ticket)
 		}
 	}
 }
--- a/core/admission/streams_test.go
+++ b/core/admission/streams_test.go
@@ -19,8 +19,8 @@
 
 // admitStream requests a stream at the given scheduling delay, and reports its decision at once.
 func admitStream(g *Gate, now model.Time, account model.AccountID, delay time.Duration) (Ticket, Reason) {
-	v, ticket := g.Arrive(now, Request{
-		Account: account, Route: route, Within: within, Stream: true, Objective: objective, Late: delay,
+	v, ticket := g.Admit(now, Request{
+		Account: account, Route: route, DecisionBudget: within, Stream: true, Objective: objective, SchedulingDelay: delay,
 	})
 	if v.Reason == Admitted {
 		g.Decided(now, ticket, Decision{})
@@ -56,7 +56,7 @@
 	is.Equal(reason, Admitted)
 	_, reason = admitStream(g, 4100*time.Millisecond, hot, 0)
 	is.Equal(reason, Admitted)
-	_, limit := g.Carried()
+	_, limit := g.Streams()
 	is.True(math.IsInf(limit, 1))
 }
 
@@ -144,7 +144,7 @@
 	g := NewGate(0)
 	now := narrowWindow(g)
 	arrive := func(first bool) bool {
-		v, ticket := g.Arrive(now, Request{Account: hot, Route: route, Within: within, First: first})
+		v, ticket := g.Admit(now, Request{Account: hot, Route: route, DecisionBudget: within, FirstOnConn: first})
 		if v.Reason == Admitted {
 			g.Decided(now, ticket, Decision{Took: 2 * within}) // the window stays small
 		}
@@ -153,7 +153,7 @@
 	is.True(!arrive(true))
 	is.True(!g.Crowded(now))
 	for g.Pending() < 20 {
-		if v, _ := g.Arrive(now, Request{Account: hot, Route: route, Within: within}); v.Reason != Admitted {
+		if v, _ := g.Admit(now, Request{Account: hot, Route: route, DecisionBudget: within}); v.Reason != Admitted {
 			break
 		}
 	}
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -43,9 +43,9 @@
 	defer p.mu.Unlock()
 	if now >= p.pruned+pruneInterval {
 		p.pruned = now
-		p.gate.Forget(now)
+		p.gate.DeleteExpired(now)
 	}
-	verdict, ticket := p.gate.Arrive(now, r)
+	verdict, ticket := p.gate.Admit(now, r)
 	p.updateMetrics()
 	return verdict, ticket
 }
@@ -61,7 +61,7 @@
 func (p *admitter) recordDecision(now model.Time, account model.AccountID, t admission.Ticket, age time.Duration, d scheduler.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gate.Decided(now, t, admission.Decision{Took: age - d.Waited, Refused: !d.Dispatched, Holds: d.Holds})
+	p.gate.Decided(now, t, admission.Decision{Took: age - d.Waited, Refused: !d.Dispatched, ValidFor: d.Holds})
 	p.account(account).last = d
 	p.updateMetrics()
 }
@@ -70,7 +70,7 @@
 func (p *admitter) withdraw(t admission.Ticket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gate.Left(t)
+	p.gate.Abandoned(t)
 	p.updateMetrics()
 }
 
@@ -86,7 +86,7 @@
 func (p *admitter) updateMetrics() {
 	p.metrics.Pending.Set(float64(p.gate.Pending()))
 	p.metrics.Window.Set(p.gate.Window())
-	carried, limit := p.gate.Carried()
+	carried, limit := p.gate.Streams()
 	p.metrics.Carried.Set(float64(carried))
 	p.metrics.CarriedLimit.Set(limit)
 }
@@ -112,17 +112,17 @@
 // decideWithin returns the time within which the request should be scheduled.
 func (a *attempt) decideWithin() time.Duration {
 	if objective := a.route.Through.Objective; objective > 0 {
-		return time.Duration(admission.Part * float64(objective))
+		return time.Duration(admission.DecisionFraction * float64(objective))
 	}
-	return time.Duration(admission.Part * float64(a.left()))
+	return time.Duration(admission.DecisionFraction * float64(a.left()))
 }
 
 // admissionRequest returns the input of the gate for this request.
 func (a *attempt) admissionRequest() admission.Request {
 	return admission.Request{
-		Account: a.account, Route: model.HashName(a.route.Name), Within: a.decideWithin(),
-		Stream: a.route.Through.Streaming, Objective: a.route.Through.Objective, Late: a.service.scheduler.Late(),
-		First: a.conn.writes.idle == 0,
+		Account: a.account, Route: model.HashName(a.route.Name), DecisionBudget: a.decideWithin(),
+		Stream: a.route.Through.Streaming, Objective: a.route.Through.Objective, SchedulingDelay: a.service.scheduler.Late(),
+		FirstOnConn: a.conn.writes.idle == 0,
 	}
 }
 
@@ -180,7 +180,7 @@
 // and the last decision on a request of the account.
 func (a *attempt) logRefusedByHeader(refused int64, v admission.Verdict, last scheduler.Decision) {
 	logBasis(a.log("crowded"), last.Basis).Int64("refused", refused).Str("reason", string(v.Reason)).
-		Int("waiting", v.Pending).Int("window", v.Window).Int("carried", v.Carried).Int("carried_limit", v.Bound).
+		Int("waiting", v.Pending).Int("window", v.Window).Int("carried", v.Streams).Int("carried_limit", v.StreamLimit).
 		Bool("last_dispatched", last.Dispatched).Str("last_reason", string(last.Refusal)).
 		Msg("request refused by its header")
 }
