--- a/core/core.go
+++ b/core/core.go
@@ -236,7 +236,7 @@
 
 // Wake returns when the next Tick is due.
 func (c *Core) Wake() model.Time {
-	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.Wake(), c.ledger.Wake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.book.NextTell())
+	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.Wake(), c.ledger.Wake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.book.NextSend())
 	return max(wake, c.now+minWake)
 }
 
--- a/core/suspect/evaluate.go
+++ b/core/suspect/evaluate.go
@@ -8,7 +8,7 @@
 )
 
 // Ends returns the ends that count against a request: those since its last complete answer.
-func (b *Book) Ends(f model.Fingerprint) []End {
+func (b *Tracker) Ends(f model.Fingerprint) []End {
 	e := b.entries[f]
 	if e == nil {
 		return nil
@@ -17,7 +17,7 @@
 }
 
 // Failed returns the number of failed tries of a request since its last complete answer.
-func (b *Book) Failed(f model.Fingerprint) int {
+func (b *Tracker) Failed(f model.Fingerprint) int {
 	failed := 0
 	for _, end := range b.Ends(f) {
 		if end.Try {
@@ -28,7 +28,7 @@
 }
 
 // due returns when a held-back request is to be tried, before its postponement by calm.
-func (b *Book) due(e *entry) model.Time {
+func (b *Tracker) due(e *entry) model.Time {
 	last := e.Answered
 	for _, end := range e.countedEnds() {
 		last = max(last, end.At)
@@ -40,7 +40,7 @@
 }
 
 // calm postpones a try until no backend server has ended for calmPeriod, by at most maxPostponement.
-func (b *Book) calm(due model.Time) model.Time {
+func (b *Tracker) calm(due model.Time) model.Time {
 	last := Never
 	for _, at := range b.ended {
 		last = max(last, at)
@@ -49,7 +49,7 @@
 }
 
 // tryDelay returns how long a request is held back until it is tried.
-func (b *Book) tryDelay(e *entry) time.Duration {
+func (b *Tracker) tryDelay(e *entry) time.Duration {
 	failed := 0
 	for _, end := range e.countedEnds() {
 		if !end.Try {
@@ -68,14 +68,14 @@
 
 // jitter returns a fraction of tryJitter that differs between routers. Its square is uniformly distributed, so that
 // only few routers try early.
-func (b *Book) jitter(f model.Fingerprint) time.Duration {
+func (b *Tracker) jitter(f model.Fingerprint) time.Duration {
 	mixed := (uint64(f) ^ b.salt) * 0x9E3779B97F4A7C15 // the golden ratio, as in Fibonacci hashing
 	return time.Duration(float64(tryJitter) * math.Sqrt(float64(mixed>>32)/(1<<32)))
 }
 
 // evaluate determines which requests are held back: first without, then with the ends explained by other held-back
 // requests.
-func (b *Book) evaluate() {
+func (b *Tracker) evaluate() {
 	if !b.stale {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // aboveThreshold returns the requests with at least heldThreshold points, where the others given may explain ends.
-func (b *Book) aboveThreshold(others map[model.Fingerprint]bool) map[model.Fingerprint]bool {
+func (b *Tracker) aboveThreshold(others map[model.Fingerprint]bool) map[model.Fingerprint]bool {
 	out := map[model.Fingerprint]bool{}
 	for f, e := range b.entries {
 		sum := 0
@@ -107,7 +107,7 @@
 }
 
 // points returns the weight of an end of a request.
-func (b *Book) points(e *entry, end End, others map[model.Fingerprint]bool) int {
+func (b *Tracker) points(e *entry, end End, others map[model.Fingerprint]bool) int {
 	if end.Begun || b.correlated(e, end) || b.explained(e, end, others) {
 		return weakPoints
 	}
@@ -116,7 +116,7 @@
 
 // explained reports whether another held-back request was running on the backend server when it ended, and has more
 // ends or was being tried as well.
-func (b *Book) explained(e *entry, end End, others map[model.Fingerprint]bool) bool {
+func (b *Tracker) explained(e *entry, end End, others map[model.Fingerprint]bool) bool {
 	own := len(e.countedEnds())
 	for f := range others {
 		other := b.entries[f]
@@ -131,7 +131,7 @@
 }
 
 // correlated reports whether a backend server on which the request didn't run ended at about the same time.
-func (b *Book) correlated(e *entry, end End) bool {
+func (b *Tracker) correlated(e *entry, end End) bool {
 	for backend, at := range b.ended {
 		if (at-end.At).Abs() <= correlatedWithin && !e.ranOn(backend, at) {
 			return true
@@ -140,7 +140,7 @@
 	return false
 }
 
-func (b *Book) computeDigest() uint64 {
+func (b *Tracker) computeDigest() uint64 {
 	var out uint64
 	for f, e := range b.entries {
 		if !e.inDigest() {
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -18,7 +18,7 @@
 	t       *rapid.T
 	queue   eventqueue.Queue
 	random  *rand.Rand
-	books   []*Book
+	books   []*Tracker
 	servers []*server
 	starts  int // of backend servers
 	delay   time.Duration
@@ -76,7 +76,7 @@
 	s.up = false
 	now := w.queue.Now()
 	for r := range s.running {
-		w.books[r.router].Ended(now, r.f, account, End{Backend: s.id, At: now, Ran: now - r.sent})
+		w.books[r.router].RecordEnd(now, r.f, account, End{Backend: s.id, At: now, Ran: now - r.sent})
 	}
 	w.sendDue()
 	w.queue.After(restartDelay, func() { w.start(s) })
@@ -86,10 +86,10 @@
 func (w *fleet) sendDue() {
 	now := w.queue.Now()
 	for i, b := range w.books {
-		for _, suspicion := range b.Tell(now) {
+		for _, suspicion := range b.TakeDue(now) {
 			for j, other := range w.books {
 				if i != j {
-					w.queue.After(time.Duration(w.random.Int64N(int64(w.delay))), func() { other.Take(w.queue.Now(), suspicion) })
+					w.queue.After(time.Duration(w.random.Int64N(int64(w.delay))), func() { other.Merge(w.queue.Now(), suspicion) })
 				}
 			}
 		}
@@ -100,13 +100,13 @@
 func (w *fleet) arrive(f model.Fingerprint, lethal bool) {
 	now := w.queue.Now()
 	router := w.random.IntN(len(w.books))
-	decision := w.books[router].Consider(now, f)
+	decision := w.books[router].Evaluate(now, f)
 	switch {
 	case decision.Held && !decision.Try:
 		w.refused[f] = now
 	case decision.Try && w.granting:
 		w.queue.After(time.Duration(w.random.Int64N(int64(maxClaimDelay))), func() { w.claim(router, f, lethal) })
-	case !decision.Try || w.books[router].Try(now, f):
+	case !decision.Try || w.books[router].StartTry(now, f):
 		w.send(router, f, lethal)
 	}
 	w.sendDue()
@@ -121,7 +121,7 @@
 // claim requests a try, and makes it if granted.
 func (w *fleet) claim(router int, f model.Fingerprint, lethal bool) {
 	now := w.queue.Now()
-	if at, claimed := w.claims[f]; claimed && now < at+claimTTL || !w.books[router].Try(now, f) {
+	if at, claimed := w.claims[f]; claimed && now < at+claimTTL || !w.books[router].StartTry(now, f) {
 		return
 	}
 	w.claims[f] = now
@@ -152,7 +152,7 @@
 		}
 		delete(s.running, r)
 		w.served[f] = w.queue.Now()
-		w.books[router].Answered(w.queue.Now(), f)
+		w.books[router].RecordAnswer(w.queue.Now(), f)
 		w.sendDue()
 	})
 }
@@ -271,11 +271,11 @@
 	})
 }
 
-func ExampleBook() {
+func ExampleTracker() {
 	b := New(1)
 	for backend, at := range []time.Duration{time.Second, 2 * time.Second} {
-		b.Ended(at, 1, 7, End{Backend: model.BackendID(backend), At: at, Ran: 80 * time.Millisecond})
+		b.RecordEnd(at, 1, 7, End{Backend: model.BackendID(backend), At: at, Ran: 80 * time.Millisecond})
 	}
-	fmt.Println(b.Judge(3*time.Second, 1).Held)
+	fmt.Println(b.Decide(3*time.Second, 1).Held)
 	// Output: true
 }
--- a/core/suspect/send.go
+++ b/core/suspect/send.go
@@ -19,17 +19,17 @@
 	MaxTime = model.Time(1<<63 - 1)
 )
 
-func (b *Book) scheduleSend(now model.Time, e *entry) {
+func (b *Tracker) scheduleSend(now model.Time, e *entry) {
 	e.sendsLeft, e.nextSend = sendCount, now
 	b.nextSend = min(b.nextSend, now)
 }
 
-// NextTell returns when Tell next has suspicions to return, MaxTime if it has none.
-func (b *Book) NextTell() model.Time { return b.nextSend }
+// NextSend returns when TakeDue next has suspicions to return, MaxTime if it has none.
+func (b *Tracker) NextSend() model.Time { return b.nextSend }
 
-// Tell returns the suspicions that are due to be sent to the other routers, those with the most ends first, and counts
+// TakeDue returns the suspicions that are due to be sent to the other routers, those with the most ends first, and counts
 // each as sent once.
-func (b *Book) Tell(now model.Time) []Suspicion {
+func (b *Tracker) TakeDue(now model.Time) []Suspicion {
 	if now < b.nextSend {
 		return nil
 	}
--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -33,7 +33,7 @@
 // # Limits
 //
 // Ends and tries reach other routers some tenths of a second late: that many more sends, and tries unless they are
-// requested first (Consider), may happen there. Times received from others are as late. The state is lost with the
+// requested first (Evaluate), may happen there. Times received from others are as late. The state is lost with the
 // process; other routers send theirs with the first datagrams (Digest), and package heldstore writes it to the
 // store for the case that all routers end.
 package suspect
@@ -126,8 +126,8 @@
 	Ends       int           // number of ends that count
 }
 
-// Book is one router's state of the suspected requests.
-type Book struct {
+// Tracker is one router's state of the suspected requests.
+type Tracker struct {
 	salt     uint64 // differs between routers
 	entries  map[model.Fingerprint]*entry
 	ended    map[model.BackendID]model.Time
@@ -140,23 +140,23 @@
 }
 
 // New returns an empty book. The salt must differ between routers.
-func New(salt uint64) *Book {
-	return &Book{
+func New(salt uint64) *Tracker {
+	return &Tracker{
 		salt: salt, entries: map[model.Fingerprint]*entry{}, ended: map[model.BackendID]model.Time{},
 		held: map[model.Fingerprint]bool{}, nextSend: MaxTime,
 	}
 }
 
-// Version increases with each change of the state other than by Try.
-func (b *Book) Version() uint64 { return b.version }
+// Version increases with each change of the state other than by StartTry.
+func (b *Tracker) Version() uint64 { return b.version }
 
-func (b *Book) markChanged() {
+func (b *Tracker) markChanged() {
 	b.stale = true
 	b.version++
 }
 
-// Ended records an end that this router has observed: of a backend server on which a request was running.
-func (b *Book) Ended(now model.Time, f model.Fingerprint, account model.AccountID, end End) {
+// RecordEnd records an end that this router has observed: of a backend server on which a request was running.
+func (b *Tracker) RecordEnd(now model.Time, f model.Fingerprint, account model.AccountID, end End) {
 	b.recordEnd(end)
 	b.markChanged()
 	if end.Ran < minRun {
@@ -172,14 +172,14 @@
 }
 
 // recordEnd stores when a backend server last ended. Routers' times of the same end differ a little.
-func (b *Book) recordEnd(end End) {
+func (b *Tracker) recordEnd(end End) {
 	if at, found := b.ended[end.Backend]; !found || end.At > at+sameEndWithin {
 		b.ended[end.Backend] = end.At
 	}
 }
 
-// Answered records that a request has got a complete answer, and reports whether it was held back.
-func (b *Book) Answered(now model.Time, f model.Fingerprint) bool {
+// RecordAnswer records that a request has got a complete answer, and reports whether it was held back.
+func (b *Tracker) RecordAnswer(now model.Time, f model.Fingerprint) bool {
 	e := b.entries[f]
 	if e == nil || !e.suspected() {
 		return false
@@ -191,23 +191,23 @@
 	return wasHeld
 }
 
-// Judge decides on a request that has arrived. A try that it returns counts as made.
-func (b *Book) Judge(now model.Time, f model.Fingerprint) Decision {
-	out := b.Consider(now, f)
+// Decide decides on a request that has arrived. A try that it returns counts as made.
+func (b *Tracker) Decide(now model.Time, f model.Fingerprint) Decision {
+	out := b.Evaluate(now, f)
 	if out.Try {
-		b.Try(now, f)
+		b.StartTry(now, f)
 	}
 	return out
 }
 
-// Consider decides on a request that has arrived, where a try must be requested before Try is called. No other
+// Evaluate decides on a request that has arrived, where a try must be requested before StartTry is called. No other
 // try is due here while the request is pending.
-func (b *Book) Consider(now model.Time, f model.Fingerprint) Decision {
+func (b *Tracker) Evaluate(now model.Time, f model.Fingerprint) Decision {
 	e := b.entries[f]
 	if e == nil || !b.isHeld(f) {
 		return Decision{}
 	}
-	out := Decision{Held: true, Ends: len(e.countedEnds()), RetryAfter: b.Due(f) - now}
+	out := Decision{Held: true, Ends: len(e.countedEnds()), RetryAfter: b.NextTry(f) - now}
 	if out.RetryAfter > 0 {
 		return out
 	}
@@ -216,9 +216,9 @@
 	return out
 }
 
-// Try records that a try is made, and reports whether it may be made: not if a backend server on which the request ran
+// StartTry records that a try is made, and reports whether it may be made: not if a backend server on which the request ran
 // has ended since the try was requested.
-func (b *Book) Try(now model.Time, f model.Fingerprint) bool {
+func (b *Tracker) StartTry(now model.Time, f model.Fingerprint) bool {
 	e := b.entries[f]
 	if e == nil || !b.isHeld(f) {
 		return true
@@ -234,19 +234,19 @@
 }
 
 // Suspects reports whether any ends count against a request.
-func (b *Book) Suspects(f model.Fingerprint) bool {
+func (b *Tracker) Suspects(f model.Fingerprint) bool {
 	e := b.entries[f]
 	return e != nil && e.suspected()
 }
 
-// Saw reports whether this router has observed one of the ends of a request, or its last complete answer.
-func (b *Book) Saw(f model.Fingerprint) bool {
+// Observed reports whether this router has observed one of the ends of a request, or its last complete answer.
+func (b *Tracker) Observed(f model.Fingerprint) bool {
 	e := b.entries[f]
 	return e != nil && e.observed
 }
 
-// Take merges the state of a request received from another router or read from the store.
-func (b *Book) Take(now model.Time, in Suspicion) {
+// Merge merges the state of a request received from another router or read from the store.
+func (b *Tracker) Merge(now model.Time, in Suspicion) {
 	if b.entries[in.Fingerprint] == nil && len(in.Ends) == 0 {
 		return
 	}
@@ -269,7 +269,7 @@
 
 // Restore adds a request that the store holds as held back. It remains held back, whichever other backend servers ended
 // at the same times.
-func (b *Book) Restore(now model.Time, in Suspicion) {
+func (b *Tracker) Restore(now model.Time, in Suspicion) {
 	if len(in.Ends) == 0 {
 		return
 	}
@@ -282,8 +282,8 @@
 	b.prune(now)
 }
 
-// Due returns when a held-back request is tried here, Never for an unknown one.
-func (b *Book) Due(f model.Fingerprint) model.Time {
+// NextTry returns when a held-back request is tried here, Never for an unknown one.
+func (b *Tracker) NextTry(f model.Fingerprint) model.Time {
 	e := b.entries[f]
 	if e == nil {
 		return Never
@@ -293,7 +293,7 @@
 
 // Held returns the state of each held-back request, sorted by fingerprint, as it is to be stored: an end
 // with another possible cause isn't marked as that of a try.
-func (b *Book) Held() []Suspicion {
+func (b *Tracker) Held() []Suspicion {
 	b.evaluate()
 	var out []Suspicion
 	for _, f := range slices.Sorted(maps.Keys(b.held)) {
@@ -307,8 +307,8 @@
 	return out
 }
 
-// Known returns the state of each request that Digest covers, sorted by fingerprint.
-func (b *Book) Known() []Suspicion {
+// Entries returns the state of each request that Digest covers, sorted by fingerprint.
+func (b *Tracker) Entries() []Suspicion {
 	var out []Suspicion
 	for _, f := range slices.Sorted(maps.Keys(b.entries)) {
 		if e := b.entries[f]; e.inDigest() {
@@ -320,13 +320,13 @@
 
 // Digest returns a digest that is equal at routers with the same state, and 0 without entries. It covers requests with
 // two ends or more: those with one are sent when the end is observed, and are seldom held back later.
-func (b *Book) Digest() uint64 {
+func (b *Tracker) Digest() uint64 {
 	b.evaluate()
 	return b.digest
 }
 
 // Accounts returns the sorted accounts of the suspected requests.
-func (b *Book) Accounts() []model.AccountID {
+func (b *Tracker) Accounts() []model.AccountID {
 	out := map[model.AccountID]bool{}
 	for _, e := range b.entries {
 		if e.suspected() {
@@ -336,12 +336,12 @@
 	return slices.Sorted(maps.Keys(out))
 }
 
-func (b *Book) isHeld(f model.Fingerprint) bool {
+func (b *Tracker) isHeld(f model.Fingerprint) bool {
 	b.evaluate()
 	return b.held[f]
 }
 
-func (b *Book) entry(f model.Fingerprint, account model.AccountID) *entry {
+func (b *Tracker) entry(f model.Fingerprint, account model.AccountID) *entry {
 	e := b.entries[f]
 	if e == nil {
 		e = &entry{Suspicion: Suspicion{Fingerprint: f, Account: account, Answered: Never, Tried: Never}, restored: Never, tryRequested: Never}
@@ -352,7 +352,7 @@
 
 // prune deletes expired ends and entries, and the oldest entries beyond maxEntries. It iterates over all of them, so
 // that it runs at most once per pruneInterval unless there are far too many.
-func (b *Book) prune(now model.Time) {
+func (b *Tracker) prune(now model.Time) {
 	if now < b.pruned+pruneInterval && len(b.entries) <= maxEntries+maxEntries/8 {
 		return
 	}
--- a/core/suspicions.go
+++ b/core/suspicions.go
@@ -19,7 +19,7 @@
 
 // suspicions is the state of holding back requests during which backend servers end.
 type suspicions struct {
-	book     *suspect.Book
+	book     *suspect.Tracker
 	version  uint64 // of the book, when it was last read
 	accounts []model.AccountID
 	held     map[model.Fingerprint]bool
@@ -40,7 +40,7 @@
 	if e.Fingerprint == 0 {
 		return false
 	}
-	verdict := c.suspicions.book.Consider(c.now, e.Fingerprint)
+	verdict := c.suspicions.book.Evaluate(c.now, e.Fingerprint)
 	switch {
 	case !verdict.Held:
 		return false
@@ -62,8 +62,8 @@
 // try records that a held-back request is sent once more, and reports whether it may be.
 func (c *Core) try(e Arrive) bool {
 	book := c.suspicions.book
-	if !book.Try(c.now, e.Fingerprint) {
-		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: book.Due(e.Fingerprint) - c.now})
+	if !book.StartTry(c.now, e.Fingerprint) {
+		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: book.NextTry(e.Fingerprint) - c.now})
 		return false
 	}
 	c.do(Tried{Fingerprint: e.Fingerprint, Account: e.Account, Ends: len(book.Ends(e.Fingerprint))})
@@ -78,7 +78,7 @@
 	}
 	delete(c.suspicions.asking, e.ID)
 	if !e.Granted {
-		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: c.suspicions.book.Due(waited.Fingerprint) - c.now})
+		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: c.suspicions.book.NextTry(waited.Fingerprint) - c.now})
 		return
 	}
 	if c.try(waited) {
@@ -88,21 +88,21 @@
 
 // serverEnded records that a backend server has ended during a request.
 func (c *Core) serverEnded(e ServerEnded) {
-	c.suspicions.book.Ended(c.now, e.Fingerprint, e.Account, suspect.End{
+	c.suspicions.book.RecordEnd(c.now, e.Fingerprint, e.Account, suspect.End{
 		Backend: e.Backend, At: c.now, Ran: e.Ran, Begun: e.Begun,
 	})
 }
 
 // answered records that a request got a complete answer.
 func (c *Core) answered(e Answered) {
-	c.suspicions.book.Answered(c.now, e.Fingerprint)
+	c.suspicions.book.RecordAnswer(c.now, e.Fingerprint)
 }
 
 // takeSuspicions merges suspicions received from another router.
 func (c *Core) takeSuspicions(received []*wire.Suspicion) {
 	for _, in := range received {
 		if s, ok := decodeSuspicion(c.now, in); ok {
-			c.suspicions.book.Take(c.now, s)
+			c.suspicions.book.Merge(c.now, s)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	if d.SuspicionsDigest == s.book.Digest() || c.now < s.lastSent[d.From]+suspicionsInterval {
 		return
 	}
-	known := s.book.Known()
+	known := s.book.Entries()
 	if len(known) == 0 {
 		return
 	}
@@ -139,7 +139,7 @@
 // be fingerprinted.
 func (c *Core) followSuspicions() {
 	s := &c.suspicions
-	if s.book.NextTell() <= c.now {
+	if s.book.NextSend() <= c.now {
 		c.loads.changed = true
 	}
 	if s.book.Version() == s.version {
@@ -155,12 +155,12 @@
 		f := h.Fingerprint
 		held[f], failed[f] = true, s.book.Failed(f)
 		if !s.held[f] || failed[f] > s.failed[f] {
-			c.do(HeldChanged{Held: true, Failed: s.held[f], Seen: s.book.Saw(f), Suspicion: encodeSuspicion(c.now, h)})
+			c.do(HeldChanged{Held: true, Failed: s.held[f], Seen: s.book.Observed(f), Suspicion: encodeSuspicion(c.now, h)})
 		}
 	}
 	for _, f := range sortedKeys(s.held) {
 		if !held[f] {
-			c.do(HeldChanged{Seen: s.book.Saw(f), Suspicion: &wire.Suspicion{Fingerprint: uint64(f)}})
+			c.do(HeldChanged{Seen: s.book.Observed(f), Suspicion: &wire.Suspicion{Fingerprint: uint64(f)}})
 		}
 	}
 	s.held, s.failed = held, failed
