--- a/core/core.go
+++ b/core/core.go
@@ -175,7 +175,7 @@
 }
 
 // Late records that this router runs behind schedule, so that missing messages may be due to its own delay.
-func (c *Core) Late(now model.Time) { c.members.Late(max(c.now, now)) }
+func (c *Core) Late(now model.Time) { c.members.RecordLate(max(c.now, now)) }
 
 func (c *Core) handle(e Event) {
 	switch e := e.(type) {
@@ -236,7 +236,7 @@
 
 // Wake returns when the next Tick is due.
 func (c *Core) Wake() model.Time {
-	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.Wake(), c.ledger.Wake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.book.NextSend())
+	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.NextTick(), c.ledger.Wake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.book.NextSend())
 	return max(wake, c.now+minWake)
 }
 
--- a/core/datagram.go
+++ b/core/datagram.go
@@ -10,10 +10,10 @@
 	if d.To != c.members.Self().Name || d.From == d.To {
 		return
 	}
-	c.members.Heard(c.now, d.From, d.Boot)
+	c.members.RecordBoot(c.now, d.From, d.Boot)
 	for _, r := range d.Rumours {
-		c.members.Located(d.From, r)
-		c.members.Learn(c.now, r)
+		c.members.UpdateAddress(d.From, r)
+		c.members.ApplyRumour(c.now, r)
 	}
 	c.handleMemberChanges()
 	if c.members.Get(d.From) == nil {
@@ -58,7 +58,7 @@
 // askDead probes a router that is considered dead and from which a datagram has just been received, so that it can
 // refute its death.
 func (c *Core) askDead(name string) {
-	for _, s := range c.members.AskDead(c.now, name) {
+	for _, s := range c.members.PingDead(c.now, name) {
 		c.sendProbe(s)
 	}
 }
--- a/core/loads.go
+++ b/core/loads.go
@@ -311,7 +311,7 @@
 		c.overdue.recordDrop(in.Router, dropUnknownRouter)
 		return false
 	}
-	if from.Past != 0 && in.Process == uint32(from.Past) {
+	if from.PreviousBoot != 0 && in.Process == uint32(from.PreviousBoot) {
 		c.overdue.recordDrop(in.Router, dropEarlierProcess)
 		return false
 	}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -47,19 +47,19 @@
 
 // Member is the last state received from a router, or the router's own.
 type Member struct {
-	Name        string
-	Address     string // IP and port of its peer listener
-	DataHall    string
-	Processor   float64 // its share of a core, 0 if unknown
-	Boot        uint64  // random number of its process, 0 until received
-	Past        uint64  // random number of its previous process, 0 if unknown
-	Incarnation uint64
-	Status      wire.Status
-	since       model.Time // when the status was set
-	listed      bool       // in the VM list
-	lastSeen    model.Time // when its last datagram was received
-	refutePing  model.Time // when it was last pinged so that it refutes its death
-	outdated    bool       // it must be sent the entry stored here: it has restarted, or uses a lower incarnation
+	Name         string
+	Address      string // IP and port of its peer listener
+	DataHall     string
+	Processor    float64 // its share of a core, 0 if unknown
+	Boot         uint64  // random number of its process, 0 until received
+	PreviousBoot uint64  // random number of its previous process, 0 if unknown
+	Incarnation  uint64
+	Status       wire.Status
+	since        model.Time // when the status was set
+	listed       bool       // in the VM list
+	lastSeen     model.Time // when its last datagram was received
+	refutePing   model.Time // when it was last pinged so that it refutes its death
+	outdated     bool       // it must be sent the entry stored here: it has restarted, or uses a lower incarnation
 }
 
 // Alive reports whether work may be shared with the member.
@@ -124,11 +124,11 @@
 	}
 }
 
-// Late records that this router processes timers or events late.
-func (l *List) Late(now model.Time) { l.lastLate, l.wasLate = now, true }
+// RecordLate records that this router processes timers or events late.
+func (l *List) RecordLate(now model.Time) { l.lastLate, l.wasLate = now, true }
 
-// MayJudge reports whether this router has been on time for long enough to attribute a missing ack to the member.
-func (l *List) MayJudge(now model.Time) bool { return !l.wasLate || now >= l.lastLate+lateHoldOff }
+// CanSuspect reports whether this router has been on time for long enough to attribute a missing ack to the member.
+func (l *List) CanSuspect(now model.Time) bool { return !l.wasLate || now >= l.lastLate+lateHoldOff }
 
 // Self returns the router's own entry.
 func (l *List) Self() Member { return l.self }
@@ -251,8 +251,8 @@
 	l.enqueueRumour(l.self.Name)
 }
 
-// Heard records the receipt of an authentic datagram from a member, and its process.
-func (l *List) Heard(now model.Time, from string, boot uint64) {
+// RecordBoot records the receipt of an authentic datagram from a member, and its process.
+func (l *List) RecordBoot(now model.Time, from string, boot uint64) {
 	m := l.members[from]
 	if m == nil {
 		return
@@ -262,7 +262,7 @@
 		return
 	}
 	restarted := m.Boot != 0
-	m.Past, m.Boot = m.Boot, boot
+	m.PreviousBoot, m.Boot = m.Boot, boot
 	if restarted {
 		m.outdated = true
 		l.changes = append(l.changes, Change{Name: from, Status: m.Status, Restarted: true})
@@ -270,9 +270,9 @@
 	}
 }
 
-// Located sets a member's address to the one in its rumour about itself, received in an authentic datagram of its
+// UpdateAddress sets a member's address to the one in its rumour about itself, received in an authentic datagram of its
 // current process. A router that has restarted may listen on another address, and the VM list is updated seconds later.
-func (l *List) Located(from string, own *wire.Rumour) {
+func (l *List) UpdateAddress(from string, own *wire.Rumour) {
 	m := l.members[from]
 	if m == nil || own.Name != from || own.Boot != m.Boot || own.Address == "" {
 		return
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -16,7 +16,7 @@
 func probeSilent(l *List, from, until model.Time, late func(model.Time) bool) bool {
 	for now := from; now < until; now += 10 * time.Millisecond {
 		if late(now) {
-			l.Late(now)
+			l.RecordLate(now)
 		}
 		l.Tick(now)
 	}
@@ -41,7 +41,7 @@
 	l = New(Member{Name: "self", Boot: 1}, rand.New(rand.NewPCG(1, 2)))
 	l.SetListed(0, []Listed{{Name: "a", Address: "a"}})
 	l.Tick(0) // sends a probe
-	l.Late(3 * time.Second)
+	l.RecordLate(3 * time.Second)
 	l.Tick(3 * time.Second)
 	is.Equal(l.Get("a").Status, wire.Status_STATUS_ALIVE)
 	is.True(probeSilent(l, 3*time.Second, 6*time.Second, func(model.Time) bool { return false }))
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -35,11 +35,11 @@
 	}
 }
 
-// AskDead returns a ping to a member with status dead from which a datagram has just been received,
+// PingDead returns a ping to a member with status dead from which a datagram has just been received,
 // at most one a period. The ping's datagram carries the rumour of its death, which it refutes in
 // its ack. Otherwise it would stay dead here until its next regular ping, which takes longer
 // the larger the fleet is.
-func (l *List) AskDead(now model.Time, name string) []Send {
+func (l *List) PingDead(now model.Time, name string) []Send {
 	m := l.members[name]
 	if m == nil || m.Status != wire.Status_STATUS_DEAD || now < m.refutePing+Period {
 		return nil
@@ -103,8 +103,8 @@
 	return append(out, Send{To: target, Probe: &wire.Probe{Nonce: l.nonce}})
 }
 
-// Wake returns when Tick is next to be called.
-func (l *List) Wake() model.Time {
+// NextTick returns when Tick is next to be called.
+func (l *List) NextTick() model.Time {
 	if l.probe != nil && !l.probe.acked && !l.probe.indirect {
 		return min(l.next, l.probe.started+ackTimeout)
 	}
@@ -135,7 +135,7 @@
 func (l *List) finishProbe(now model.Time) {
 	p := l.probe
 	l.probe = nil
-	if p == nil || p.acked || !l.MayJudge(now) {
+	if p == nil || p.acked || !l.CanSuspect(now) {
 		return
 	}
 	m := l.members[p.target]
@@ -151,7 +151,7 @@
 }
 
 func (l *List) expireSuspects(now model.Time) {
-	if l.suspects == 0 || !l.MayJudge(now) {
+	if l.suspects == 0 || !l.CanSuspect(now) {
 		return
 	}
 	for _, name := range l.names {
--- a/core/member/rumour.go
+++ b/core/member/rumour.go
@@ -44,8 +44,8 @@
 // of its previous process, so that it increases its incarnation and all others accept its rumours.
 func (l *List) rumourForSelf(m *Member) *wire.Rumour {
 	out := l.rumour(m)
-	if m.outdated && m.Past != 0 {
-		out.Boot = m.Past
+	if m.outdated && m.PreviousBoot != 0 {
+		out.Boot = m.PreviousBoot
 	}
 	return out
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// Learn applies a rumour received from another router.
-func (l *List) Learn(now model.Time, r *wire.Rumour) {
+// ApplyRumour applies a rumour received from another router.
+func (l *List) ApplyRumour(now model.Time, r *wire.Rumour) {
 	if r.Name == l.self.Name {
 		l.refute(r)
 		return
@@ -96,7 +96,7 @@
 		m.Processor = float64(r.Processor)
 	}
 	if r.Boot != 0 && m.Boot != r.Boot {
-		l.Heard(m.lastSeen, m.Name, r.Boot)
+		l.RecordBoot(m.lastSeen, m.Name, r.Boot)
 	}
 	m.outdated = false
 	if m.Status != r.Status {
--- a/core/relaylink.go
+++ b/core/relaylink.go
@@ -84,7 +84,7 @@
 	if c.now < link.confirmDeadline() {
 		return
 	}
-	if !c.members.MayJudge(c.now) {
+	if !c.members.CanSuspect(c.now) {
 		link.since = c.now // confirmations may be waiting to be read here
 		return
 	}
