--- a/core/byprompt.go
+++ b/core/byprompt.go
@@ -94,7 +94,7 @@
 	c.loads.changed = true
 	c.prompt.AddUsage(key.Account, requested, begun)
 	if begun != 0 {
-		c.ledger.Add(c.now, key, model.ServiceOf(begun, 1))
+		c.ledger.AddService(c.now, key, model.ServiceOf(begun, 1))
 	}
 }
 
--- a/core/charge.go
+++ b/core/charge.go
@@ -30,7 +30,7 @@
 	if service == r.charged {
 		return
 	}
-	c.ledger.Add(c.now, r.key, service-r.charged)
+	c.ledger.AddService(c.now, r.key, service-r.charged)
 	r.charged = service
 }
 
--- a/core/core.go
+++ b/core/core.go
@@ -236,7 +236,7 @@
 
 // Wake returns when the next Tick is due.
 func (c *Core) Wake() model.Time {
-	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.NextTick(), c.ledger.Wake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.book.NextSend())
+	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.NextTick(), c.ledger.NextWake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.book.NextSend())
 	return max(wake, c.now+minWake)
 }
 
@@ -291,7 +291,7 @@
 	}
 }
 
-func (c *Core) sendLedger(s ledger.Send) {
+func (c *Core) sendLedger(s ledger.Message) {
 	d := c.to(s.To)
 	if s.Up != nil {
 		d.Up = s.Up
--- a/core/ledger/exchange.go
+++ b/core/ledger/exchange.go
@@ -85,7 +85,7 @@
 }
 
 // buildUp returns the next Up: the cumulative amounts of the accounts that changed recently or have requests.
-func (l *Ledger) buildUp(now model.Time) Send {
+func (l *Ledger) buildUp(now model.Time) Message {
 	p := l.parent
 	p.sequence++
 	snap := snapshot{subtree: map[model.Key]amount{}, children: map[string]childPosition{}, at: now}
@@ -113,7 +113,7 @@
 	}
 	up.NoView = p.viewRequested && !l.hasView
 	l.nextUp = now + messageInterval(len(entries), 1)
-	return Send{To: p.name, Up: up}
+	return Message{To: p.name, Up: up}
 }
 
 // amounts returns the fleet's service: of all accounts, or of those that changed recently or have requests.
@@ -129,11 +129,11 @@
 }
 
 // buildDowns returns the next Down for each child.
-func (l *Ledger) buildDowns(now model.Time) []Send {
+func (l *Ledger) buildDowns(now model.Time) []Message {
 	l.downSeq++
 	l.downPending = false
 	columns := l.amounts(now, false)
-	var out []Send
+	var out []Message
 	for _, child := range l.childPeers {
 		down := &wire.Down{
 			Root: l.term.root, Term: l.term.number,
@@ -147,7 +147,7 @@
 				down.IncludedSequence = c.sequence
 			}
 		}
-		out = append(out, Send{To: child.Name, Down: down})
+		out = append(out, Message{To: child.Name, Down: down})
 	}
 	entries := 0
 	for _, c := range columns {
@@ -158,7 +158,7 @@
 }
 
 // ReceiveUp handles an Up from a child.
-func (l *Ledger) ReceiveUp(now model.Time, from string, up *wire.Up) []Send {
+func (l *Ledger) ReceiveUp(now model.Time, from string, up *wire.Up) []Message {
 	if !l.isChild(from) {
 		return nil
 	}
@@ -169,7 +169,7 @@
 	if l.isRoot && !l.hasView {
 		c.noView = up.NoView
 		if up.View == nil {
-			return []Send{{To: from, Down: &wire.Down{Attachment: up.Attachment}}}
+			return []Message{{To: from, Down: &wire.Down{Attachment: up.Attachment}}}
 		}
 		l.adopt(up.View)
 	}
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -107,8 +107,8 @@
 	lastChange      model.Time
 }
 
-// Send is a part of a datagram to another router.
-type Send struct {
+// Message is a part of a datagram to another router.
+type Message struct {
 	To   string
 	Up   *wire.Up
 	Down *wire.Down
@@ -185,8 +185,8 @@
 	return l.order[from:to]
 }
 
-// Add records service given to an account at this router; negative if an estimate was too high.
-func (l *Ledger) Add(now model.Time, key model.Key, service model.Service) {
+// AddService records service given to an account at this router; negative if an estimate was too high.
+func (l *Ledger) AddService(now model.Time, key model.Key, service model.Service) {
 	a := l.accountFor(key)
 	a.localService += service
 	a.lastChange = now
@@ -208,9 +208,9 @@
 	a.rootService += s.sum()
 }
 
-// SetBusy records whether an account has requests waiting at this router and how many of its requests are running from
+// SetBacklog records whether an account has requests waiting at this router and how many of its requests are running from
 // here.
-func (l *Ledger) SetBusy(now model.Time, key model.Key, backlogged bool, running int) {
+func (l *Ledger) SetBacklog(now model.Time, key model.Key, backlogged bool, running int) {
 	a := l.accountFor(key)
 	if a.localBacklogged == backlogged && a.localRunning == uint32(running) {
 		return
@@ -241,8 +241,8 @@
 // Keys returns the keys of all recorded accounts and pools, in order.
 func (l *Ledger) Keys() []model.Key { return l.order }
 
-// Own returns the service given to an account at this router since its start.
-func (l *Ledger) Own(key model.Key) model.Service {
+// LocalService returns the service given to an account at this router since its start.
+func (l *Ledger) LocalService(key model.Key) model.Service {
 	if a := l.accounts[key]; a != nil {
 		return a.localService
 	}
@@ -265,12 +265,12 @@
 	return int(max(a.running, a.localRunning))
 }
 
-// Loop returns the last measured time until service given here was included in the amounts sent down.
-func (l *Ledger) Loop() time.Duration { return l.roundTrip }
+// RoundTrip returns the last measured time until service given here was included in the amounts sent down.
+func (l *Ledger) RoundTrip() time.Duration { return l.roundTrip }
 
 // Tick updates the state to the given time and returns the messages that are due.
-func (l *Ledger) Tick(now model.Time) []Send {
-	var out []Send
+func (l *Ledger) Tick(now model.Time) []Message {
+	var out []Message
 	if l.isRoot {
 		l.raiseFloors(now)
 		l.downPending = true
@@ -286,8 +286,8 @@
 	return out
 }
 
-// Wake returns the time at which Tick next has something to do.
-func (l *Ledger) Wake(now model.Time) model.Time {
+// NextWake returns the time at which Tick next has something to do.
+func (l *Ledger) NextWake(now model.Time) model.Time {
 	wake := now + MinInterval
 	if l.parent != nil {
 		wake = min(wake, l.nextUp)
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -42,12 +42,12 @@
 func TestServiceReachesRootAndChildren(t *testing.T) {
 	is := is.New(t)
 	root, child, _ := newPair()
-	child.Add(0, testAccount, 100)
-	root.Add(0, testAccount, 7)
+	child.AddService(0, testAccount, 100)
+	root.AddService(0, testAccount, 7)
 	exchange(root, child, 0, 2*time.Second)
 	is.Equal(root.Virtual(testAccount), model.Service(107))
 	is.Equal(child.Virtual(testAccount), model.Service(107))
-	is.Equal(child.Own(testAccount), model.Service(100))
+	is.Equal(child.LocalService(testAccount), model.Service(100))
 }
 
 // TestReattachedChildIsCountedOnce checks that a child's service is counted once when its parent drops it and accepts
@@ -55,11 +55,11 @@
 func TestReattachedChildIsCountedOnce(t *testing.T) {
 	is := is.New(t)
 	root, child, order := newPair()
-	child.Add(0, testAccount, 100)
+	child.AddService(0, testAccount, 100)
 	exchange(root, child, 0, 2*time.Second)
 	root.SetTree(2*time.Second, order[:1])
 	root.SetTree(2*time.Second, order)
-	child.Add(2*time.Second, testAccount, 1)
+	child.AddService(2*time.Second, testAccount, 1)
 	exchange(root, child, 2*time.Second, 4*time.Second)
 	is.Equal(root.Virtual(testAccount), model.Service(101))
 }
@@ -68,7 +68,7 @@
 func TestRestartedRootAdoptsView(t *testing.T) {
 	is := is.New(t)
 	root, child, order := newPair()
-	child.Add(0, testAccount, 100)
+	child.AddService(0, testAccount, 100)
 	exchange(root, child, 0, 2*time.Second)
 	restarted := newTestLedger("root")
 	order[0].Boot = 3
@@ -83,9 +83,9 @@
 	is := is.New(t)
 	l := newTestLedger("alone")
 	other := model.Key{Pool: 1, Account: 3}
-	l.SetBusy(0, other, true, 0)
-	l.Add(0, other, 5000)
+	l.SetBacklog(0, other, true, 0)
+	l.AddService(0, other, 5000)
 	l.Tick(0)
-	l.SetBusy(0, testAccount, true, 0)
+	l.SetBacklog(0, testAccount, true, 0)
 	is.Equal(l.Virtual(testAccount), model.Service(5000))
 }
--- a/core/pick.go
+++ b/core/pick.go
@@ -103,14 +103,14 @@
 }
 
 func (c *Core) candidates(pool model.PoolID) []candidate {
-	virtualService := c.ledger.Standings(pool)
+	virtualService := c.ledger.EffectiveVirtual(pool)
 	var out []candidate
 	for _, key := range c.demandKeys(pool) {
 		d := c.demands[key]
 		if c.atConcurrencyLimit(key, d) {
 			continue
 		}
-		out = append(out, candidate{key: key, score: virtualService(key) + d.recentService(c.now, c.ledger.Loop()), oldest: d.oldest(c.now)})
+		out = append(out, candidate{key: key, score: virtualService(key) + d.recentService(c.now, c.ledger.RoundTrip()), oldest: d.oldest(c.now)})
 	}
 	return out
 }
--- a/core/property_test.go
+++ b/core/property_test.go
@@ -133,7 +133,7 @@
 			key := model.Key{Pool: model.Pool(assistant), Account: id}
 			own := 0.0
 			for _, n := range r.fleet.nodes {
-				own += n.core.ledger.Own(key).Tokens()
+				own += n.core.ledger.LocalService(key).Tokens()
 			}
 			want := r.fleet.service[id] / r.fleet.config.Accounts[id].Weight
 			if math.Abs(own-want) > 2 {
--- a/core/report.go
+++ b/core/report.go
@@ -191,7 +191,7 @@
 // noteBusy records in the ledger whether the client account has requests waiting, and how many are running.
 func (c *Core) noteBusy(key model.Key, q *queue) {
 	c.trackWaiting(key, q)
-	c.ledger.SetBusy(c.now, key, q.length() > 0, q.running)
+	c.ledger.SetBacklog(c.now, key, q.length() > 0, q.running)
 }
 
 // slotFreed reports to the owner of a backend server that a request there has ended.
--- a/core/view.go
+++ b/core/view.go
@@ -84,7 +84,7 @@
 		}
 		status := &wire.AccountStatus{
 			Name: account.Name, Pool: c.config.Pools[key.Pool].Name,
-			DeliveredTokens: int64(c.ledger.Own(key).Tokens() * account.Weight),
+			DeliveredTokens: int64(c.ledger.LocalService(key).Tokens() * account.Weight),
 			VirtualService:  int64(c.virtualService(key)),
 			Backlogged:      c.ledger.Backlogged(key),
 		}
