--- a/claim/runner.go
+++ b/claim/runner.go
@@ -22,7 +22,7 @@
 	index    int
 	shard    *claims.Shard
 	requests chan request
-	replies  chan claims.Reply
+	replies  chan claims.CallResult
 	nextID   uint64
 	waiting  map[uint64]chan claims.Result
 }
@@ -31,10 +31,10 @@
 const queueSize = 1024
 
 func newRunner(s *Service, index int) *runner {
-	pace := claims.Pace{PerSecond: s.writes / shards, Burst: burst}
+	pace := claims.SwapRate{PerSecond: s.writes / shards, Burst: burst}
 	return &runner{
 		service: s, index: index, shard: claims.NewShard(pace),
-		requests: make(chan request, queueSize), replies: make(chan claims.Reply, 1),
+		requests: make(chan request, queueSize), replies: make(chan claims.CallResult, 1),
 		waiting: map[uint64]chan claims.Result{},
 	}
 }
@@ -60,7 +60,7 @@
 		case a := <-r.requests:
 			r.accept(a)
 		case reply := <-r.replies:
-			r.deliver(r.shard.Done(r.now(), reply))
+			r.deliver(r.shard.Complete(r.now(), reply))
 		case <-timer.C:
 		}
 		call, answers := r.shard.Next(r.now())
@@ -69,7 +69,7 @@
 			r.service.ended.Add(1)
 			go r.execute(ctx, *call)
 		}
-		if wake, ok := r.shard.Wake(r.now()); ok {
+		if wake, ok := r.shard.NextWake(r.now()); ok {
 			timer.Reset(max(wake-r.now(), 0))
 		}
 	}
@@ -81,10 +81,10 @@
 		a.op.ID = r.nextID
 		r.waiting[a.op.ID] = a.result
 	}
-	r.deliver(r.shard.Ask(a.op))
+	r.deliver(r.shard.Submit(a.op))
 }
 
-func (r *runner) deliver(answers []claims.Answer) {
+func (r *runner) deliver(answers []claims.OpResult) {
 	for _, a := range answers {
 		if c := r.waiting[a.ID]; c != nil {
 			c <- a.Result
@@ -104,15 +104,15 @@
 	r.replies <- reply
 }
 
-func (r *runner) callStore(ctx context.Context, c claims.Call) (claims.Reply, string) {
+func (r *runner) callStore(ctx context.Context, c claims.Call) (claims.CallResult, string) {
 	key := fmt.Sprintf("tamarindstep/claims/%d/head", r.index)
 	if c.Kind == claims.ReadSlot || c.Kind == claims.SwapSlot {
 		key = fmt.Sprintf("tamarindstep/claims/%d/slot/%d", r.index, c.Slot)
 	}
 	if c.Kind == claims.ReadHead || c.Kind == claims.ReadSlot {
 		v, err := r.service.store.Get(ctx, key)
-		return claims.Reply{Failed: err != nil, Revision: v.Revision, Data: v.Data}, "get"
+		return claims.CallResult{Failed: err != nil, Revision: v.Revision, Data: v.Data}, "get"
 	}
 	v, swapped, err := r.service.store.Swap(ctx, key, c.Revision, c.Data)
-	return claims.Reply{Failed: err != nil, Swapped: swapped, Revision: v.Revision, Data: v.Data}, "swap"
+	return claims.CallResult{Failed: err != nil, Swapped: swapped, Revision: v.Revision, Data: v.Data}, "swap"
 }
--- a/core/claims/claims.go
+++ b/core/claims/claims.go
@@ -77,8 +77,8 @@
 	attempts int
 }
 
-// Answer is the outcome of an Op.
-type Answer struct {
+// OpResult is the outcome of an Op.
+type OpResult struct {
 	ID     uint64
 	Result Result
 }
@@ -102,24 +102,24 @@
 	Data     []byte
 }
 
-// Reply is the result of a Call. For a read, or a swap that failed because of another revision, Data and Revision are
+// CallResult is the result of a Call. For a read, or a swap that failed because of another revision, Data and Revision are
 // the current ones; for a swap that took effect, Revision is the new one.
-type Reply struct {
+type CallResult struct {
 	Failed   bool // the call may or may not have taken effect
 	Swapped  bool
 	Revision int64
 	Data     []byte
 }
 
-// Pace is the limit of a shard's swaps: an average rate and a burst.
-type Pace struct {
+// SwapRate is the limit of a shard's swaps: an average rate and a burst.
+type SwapRate struct {
 	PerSecond float64
 	Burst     float64
 }
 
 // Shard is the state machine of one shard.
 type Shard struct {
-	pace     Pace
+	pace     SwapRate
 	tokens   float64
 	refilled model.Time
 	pending  []Op
@@ -144,12 +144,12 @@
 }
 
 // NewShard returns the state machine of a shard with no known state.
-func NewShard(pace Pace) *Shard {
+func NewShard(pace SwapRate) *Shard {
 	return &Shard{pace: pace, tokens: pace.Burst, segments: map[uint64]segment{}, slots: map[int]int64{}}
 }
 
-// Ask adds an operation. If too many are pending, it is answered at once as Unavailable.
-func (s *Shard) Ask(op Op) []Answer {
+// Submit adds an operation. If too many are pending, it is answered at once as Unavailable.
+func (s *Shard) Submit(op Op) []OpResult {
 	if len(s.pending) >= maxPending {
 		return answersFor(op, Unavailable)
 	}
@@ -157,15 +157,15 @@
 	return nil
 }
 
-func answersFor(op Op, r Result) []Answer {
+func answersFor(op Op, r Result) []OpResult {
 	if op.ID == 0 {
 		return nil
 	}
-	return []Answer{{ID: op.ID, Result: r}}
+	return []OpResult{{ID: op.ID, Result: r}}
 }
 
-// Wake returns the time at which Next has something to do, and false if nothing is pending or a call is in progress.
-func (s *Shard) Wake(now model.Time) (model.Time, bool) {
+// NextWake returns the time at which Next has something to do, and false if nothing is pending or a call is in progress.
+func (s *Shard) NextWake(now model.Time) (model.Time, bool) {
 	if s.call != nil || len(s.pending)+len(s.batch) == 0 {
 		return 0, false
 	}
@@ -178,7 +178,7 @@
 }
 
 // Next returns the store call that is due, or nil, and the answers that need no call.
-func (s *Shard) Next(now model.Time) (*Call, []Answer) {
+func (s *Shard) Next(now model.Time) (*Call, []OpResult) {
 	s.tokens = min(s.tokens+(now-s.refilled).Seconds()*s.pace.PerSecond, s.pace.Burst)
 	s.refilled = now
 	if s.call != nil || now < s.retryAt || len(s.pending)+len(s.batch) == 0 {
@@ -219,8 +219,8 @@
 
 // resolve answers what the known state decides: claims of keys that are held or taken, and releases of keys that the
 // holder doesn't have in the head.
-func (s *Shard) resolve() []Answer {
-	var out []Answer
+func (s *Shard) resolve() []OpResult {
+	var out []OpResult
 	resolved := func(op Op) bool {
 		holder, claimed := s.holderOf(op.Key)
 		_, inHead := s.headClaims[op.Key]
@@ -244,8 +244,8 @@
 	return out
 }
 
-// Done receives the result of the call in progress and returns the answers that follow from it.
-func (s *Shard) Done(now model.Time, r Reply) []Answer {
+// Complete receives the result of the call in progress and returns the answers that follow from it.
+func (s *Shard) Complete(now model.Time, r CallResult) []OpResult {
 	call := s.call
 	s.call = nil
 	if r.Failed {
@@ -269,11 +269,11 @@
 
 // handleFailure answers the claims with no attempts left as Unavailable. The others, and all releases, are retried
 // after the head has been read again.
-func (s *Shard) handleFailure(now model.Time) []Answer {
+func (s *Shard) handleFailure(now model.Time) []OpResult {
 	s.headValid = false
 	s.slotWritten = false
 	s.retryAt = now + retryDelay
-	var out []Answer
+	var out []OpResult
 	exhausted := func(op Op) bool {
 		if op.Release || op.attempts < maxAttempts {
 			return false
--- a/core/claims/claims_test.go
+++ b/core/claims/claims_test.go
@@ -18,7 +18,7 @@
 
 // store is an in-memory compare-and-swap store.
 type store struct {
-	values   map[string]Reply
+	values   map[string]CallResult
 	revision int64
 	swaps    int
 }
@@ -31,7 +31,7 @@
 }
 
 // do executes a call.
-func (s *store) do(c Call) Reply {
+func (s *store) do(c Call) CallResult {
 	name := keyOf(c)
 	now := s.values[name]
 	if c.Kind == ReadHead || c.Kind == ReadSlot {
@@ -42,8 +42,8 @@
 		return now
 	}
 	s.revision++
-	s.values[name] = Reply{Revision: s.revision, Data: c.Data}
-	return Reply{Swapped: true, Revision: s.revision}
+	s.values[name] = CallResult{Revision: s.revision, Data: c.Data}
+	return CallResult{Swapped: true, Revision: s.revision}
 }
 
 // router is one router that commits the shard.
@@ -110,7 +110,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-func (w *cluster) recordAnswers(answers []Answer) {
+func (w *cluster) recordAnswers(answers []OpResult) {
 	for _, a := range answers {
 		op, ok := w.unanswered[a.ID]
 		if !ok {
@@ -127,7 +127,7 @@
 	w.nextID++
 	in := claimInput{key: Key{key}, holder: Holder{byte(w.nextID), byte(w.nextID >> 8), 1}}
 	w.unanswered[w.nextID] = porcupine.Operation{ClientId: client, Input: in, Call: int64(w.now)}
-	w.recordAnswers(w.routers[client].shard.Ask(Op{ID: w.nextID, Key: in.key, Holder: in.holder}))
+	w.recordAnswers(w.routers[client].shard.Submit(Op{ID: w.nextID, Key: in.key, Holder: in.holder}))
 }
 
 // step lets one router request its next call, or executes the call that it has requested, with or without a response.
@@ -143,15 +143,15 @@
 	c.call = nil
 	switch loss {
 	case "lost before":
-		w.recordAnswers(c.shard.Done(w.now, Reply{Failed: true}))
+		w.recordAnswers(c.shard.Complete(w.now, CallResult{Failed: true}))
 	case "lost after":
 		w.store.do(call)
-		w.recordAnswers(c.shard.Done(w.now, Reply{Failed: true}))
+		w.recordAnswers(c.shard.Complete(w.now, CallResult{Failed: true}))
 	case "late":
 		c.delayed = append(c.delayed, call)
-		w.recordAnswers(c.shard.Done(w.now, Reply{Failed: true}))
+		w.recordAnswers(c.shard.Complete(w.now, CallResult{Failed: true}))
 	default:
-		w.recordAnswers(c.shard.Done(w.now, w.store.do(call)))
+		w.recordAnswers(c.shard.Complete(w.now, w.store.do(call)))
 	}
 }
 
@@ -173,9 +173,9 @@
 // and however the routers that commit a shard are interleaved or paused.
 func TestClaimsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &cluster{t: t, store: &store{values: map[string]Reply{}}, unanswered: map[uint64]porcupine.Operation{}}
+		w := &cluster{t: t, store: &store{values: map[string]CallResult{}}, unanswered: map[uint64]porcupine.Operation{}}
 		for range rapid.IntRange(1, 3).Draw(t, "routers") {
-			w.routers = append(w.routers, &router{shard: NewShard(Pace{PerSecond: 1e6, Burst: 100})})
+			w.routers = append(w.routers, &router{shard: NewShard(SwapRate{PerSecond: 1e6, Burst: 100})})
 		}
 		losses := []string{"", "", "", "lost before", "lost after", "late"}
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
@@ -205,10 +205,10 @@
 // TestSealedClaimsAreFound checks that a new router finds claims whose segment has been sealed.
 func TestSealedClaimsAreFound(t *testing.T) {
 	is := is.New(t)
-	s := &store{values: map[string]Reply{}}
-	first := NewShard(Pace{PerSecond: 1e6, Burst: 1e6})
+	s := &store{values: map[string]CallResult{}}
+	first := NewShard(SwapRate{PerSecond: 1e6, Burst: 1e6})
 	now := model.Time(0)
-	run := func(shard *Shard) (out []Answer) {
+	run := func(shard *Shard) (out []OpResult) {
 		for range 10000 {
 			now += time.Millisecond
 			call, answers := shard.Next(now)
@@ -216,22 +216,22 @@
 			if call == nil {
 				return out
 			}
-			out = append(out, shard.Done(now, s.do(*call))...)
+			out = append(out, shard.Complete(now, s.do(*call))...)
 		}
 		return out
 	}
 	const claims = 5 * SegmentSize
 	for i := range claims {
-		first.Ask(Op{ID: uint64(i + 1), Key: Key{byte(i), byte(i >> 8), 9}, Holder: Holder{1}})
+		first.Submit(Op{ID: uint64(i + 1), Key: Key{byte(i), byte(i >> 8), 9}, Holder: Holder{1}})
 		if i%100 == 99 || i == claims-1 {
 			for _, a := range run(first) {
 				is.Equal(a.Result, Held)
 			}
 		}
 	}
-	second := NewShard(Pace{PerSecond: 1e6, Burst: 1e6})
+	second := NewShard(SwapRate{PerSecond: 1e6, Burst: 1e6})
 	for i := range claims {
-		second.Ask(Op{ID: uint64(i + 1), Key: Key{byte(i), byte(i >> 8), 9}, Holder: Holder{2}})
+		second.Submit(Op{ID: uint64(i + 1), Key: Key{byte(i), byte(i >> 8), 9}, Holder: Holder{2}})
 	}
 	answers := run(second)
 	is.Equal(len(answers), claims)
@@ -243,18 +243,18 @@
 // TestClaimsAreBatched checks that pending claims are committed by one swap.
 func TestClaimsAreBatched(t *testing.T) {
 	is := is.New(t)
-	s := &store{values: map[string]Reply{}}
-	shard := NewShard(Pace{PerSecond: 3, Burst: 1})
+	s := &store{values: map[string]CallResult{}}
+	shard := NewShard(SwapRate{PerSecond: 3, Burst: 1})
 	held := 0
 	for ms := range 3000 {
 		now := time.Duration(ms) * time.Millisecond
 		if ms%10 == 0 {
-			shard.Ask(Op{ID: uint64(ms + 1), Key: Key{byte(ms), byte(ms >> 8)}, Holder: Holder{1}})
+			shard.Submit(Op{ID: uint64(ms + 1), Key: Key{byte(ms), byte(ms >> 8)}, Holder: Holder{1}})
 		}
 		call, answers := shard.Next(now)
 		held += len(answers)
 		if call != nil {
-			held += len(shard.Done(now, s.do(*call)))
+			held += len(shard.Complete(now, s.do(*call)))
 		}
 	}
 	is.True(s.swaps <= 10) // 3 a second for 3 s, and one at once
@@ -264,8 +264,8 @@
 // TestReleasedKeysAreFree checks that a released key can be claimed again.
 func TestReleasedKeysAreFree(t *testing.T) {
 	is := is.New(t)
-	s := &store{values: map[string]Reply{}}
-	shard := NewShard(Pace{PerSecond: 1e6, Burst: 100})
+	s := &store{values: map[string]CallResult{}}
+	shard := NewShard(SwapRate{PerSecond: 1e6, Burst: 100})
 	results := []Result{}
 	for i, op := range []Op{
 		{ID: 1, Key: Key{1}, Holder: Holder{1}},
@@ -275,12 +275,12 @@
 		{ID: 5, Key: Key{1}, Holder: Holder{1}, Release: true},
 		{ID: 6, Key: Key{1}, Holder: Holder{2}},
 	} {
-		shard.Ask(op)
+		shard.Submit(op)
 		for n := range 10 {
 			now := time.Duration(i*10+n) * time.Millisecond
 			call, answers := shard.Next(now)
 			if call != nil {
-				answers = append(answers, shard.Done(now, s.do(*call))...)
+				answers = append(answers, shard.Complete(now, s.do(*call))...)
 			}
 			for _, a := range answers {
 				results = append(results, a.Result)
--- a/core/claims/commit.go
+++ b/core/claims/commit.go
@@ -73,7 +73,7 @@
 	return next
 }
 
-func (s *Shard) handleHead(now model.Time, r Reply) []Answer {
+func (s *Shard) handleHead(now model.Time, r CallResult) []OpResult {
 	head := &wire.ClaimHead{}
 	if err := proto.Unmarshal(r.Data, head); err != nil {
 		return s.handleFailure(now)
@@ -110,7 +110,7 @@
 }
 
 // handleSlot stores a sealed segment. If the head doesn't refer to it, the head has changed since.
-func (s *Shard) handleSlot(now model.Time, slot int, r Reply) []Answer {
+func (s *Shard) handleSlot(now model.Time, slot int, r CallResult) []OpResult {
 	s.slots[slot] = r.Revision
 	g := &wire.ClaimSegment{}
 	if err := proto.Unmarshal(r.Data, g); err != nil {
@@ -127,7 +127,7 @@
 
 // handleSwap handles the result of a swap of the head. A swap that failed because of another router's is retried on
 // the current head.
-func (s *Shard) handleSwap(now model.Time, call *Call, r Reply) []Answer {
+func (s *Shard) handleSwap(now model.Time, call *Call, r CallResult) []OpResult {
 	if !r.Swapped {
 		return s.handleHead(now, r)
 	}
