--- a/core/byprompt.go
+++ b/core/byprompt.go
@@ -55,8 +55,8 @@
 // arriveByPrompt processes a request under a policy that decides by prompt.
 func (c *Core) arriveByPrompt(e Arrive) {
 	if !e.Repeat {
-		c.retries.Request(c.now, e.Pool)
-	} else if !c.retries.Take(c.now, e.Pool) {
+		c.retries.CountRequest(c.now, e.Pool)
+	} else if !c.retries.TryTake(c.now, e.Pool) {
 		c.do(Refuse{ID: e.ID, Reason: RetryBudget, RetryAfter: retryBudgetPause})
 		return
 	}
--- a/core/core.go
+++ b/core/core.go
@@ -89,7 +89,7 @@
 	grants    uint64
 
 	suspicions suspicions
-	notices    *notice.Book
+	notices    *notice.Registry
 
 	placement placement
 	watched   []model.BackendID // of the last Watch action
--- a/core/holding/holding.go
+++ b/core/holding/holding.go
@@ -19,7 +19,7 @@
 // The kinds of buffered data.
 const (
 	Body Kind = iota
-	Answer
+	Response
 	kinds
 )
 
@@ -27,8 +27,8 @@
 	// LargeBodyFraction is the fraction of the limit from which on large bodies are refused, so that the responses to
 	// admitted requests have space.
 	LargeBodyFraction = 0.5
-	// SmallBody is the size in bytes of the largest body that is never refused.
-	SmallBody = 16 << 10
+	// MaxSmallBody is the size in bytes of the largest body that is never refused.
+	MaxSmallBody = 16 << 10
 )
 
 // Budget counts the buffered bytes and limits them.
@@ -46,10 +46,10 @@
 // Held returns the number of buffered bytes of a kind.
 func (b *Budget) Held(k Kind) int { return b.held[k] }
 
-func (b *Budget) total() int { return b.held[Body] + b.held[Answer] }
+func (b *Budget) total() int { return b.held[Body] + b.held[Response] }
 
-// Take reserves bytes for data of a kind, and reports whether they were available.
-func (b *Budget) Take(k Kind, bytes int) bool {
+// Reserve reserves bytes for data of a kind, and reports whether they were available.
+func (b *Budget) Reserve(k Kind, bytes int) bool {
 	if !b.fits(k, bytes) {
 		return false
 	}
@@ -60,7 +60,7 @@
 func (b *Budget) fits(k Kind, bytes int) bool {
 	limit := float64(b.limit)
 	if k == Body {
-		if bytes <= SmallBody {
+		if bytes <= MaxSmallBody {
 			return true
 		}
 		limit *= LargeBodyFraction
@@ -68,8 +68,8 @@
 	return float64(b.total()+bytes) <= limit
 }
 
-// Change changes the size of a reservation, for instance once the size of the data is known.
-func (b *Budget) Change(k Kind, from, to int) { b.held[k] += to - from }
+// Resize changes the size of a reservation, for instance once the size of the data is known.
+func (b *Budget) Resize(k Kind, from, to int) { b.held[k] += to - from }
 
-// Return releases a reservation.
-func (b *Budget) Return(k Kind, bytes int) { b.Change(k, bytes, 0) }
+// Release releases a reservation.
+func (b *Budget) Release(k Kind, bytes int) { b.Resize(k, bytes, 0) }
--- a/core/holding/holding_test.go
+++ b/core/holding/holding_test.go
@@ -12,16 +12,16 @@
 	is := is.New(t)
 	const limit = 1 << 20
 	b := New(limit)
-	is.True(b.Take(Answer, limit/2-SmallBody-1))
-	is.True(b.Take(Body, SmallBody+1))
-	is.True(!b.Take(Body, SmallBody+1)) // more than half
-	is.True(b.Take(Body, SmallBody))
-	is.True(b.Take(Answer, limit/2-SmallBody))
-	is.True(!b.Take(Answer, 1))
-	is.True(b.Take(Body, SmallBody)) // exceeds the limit
-	is.Equal(b.Held(Body), 3*SmallBody+1)
-	b.Return(Answer, limit/2-SmallBody)
-	is.True(b.Take(Answer, 1))
+	is.True(b.Reserve(Response, limit/2-MaxSmallBody-1))
+	is.True(b.Reserve(Body, MaxSmallBody+1))
+	is.True(!b.Reserve(Body, MaxSmallBody+1)) // more than half
+	is.True(b.Reserve(Body, MaxSmallBody))
+	is.True(b.Reserve(Response, limit/2-MaxSmallBody))
+	is.True(!b.Reserve(Response, 1))
+	is.True(b.Reserve(Body, MaxSmallBody)) // exceeds the limit
+	is.Equal(b.Held(Body), 3*MaxSmallBody+1)
+	b.Release(Response, limit/2-MaxSmallBody)
+	is.True(b.Reserve(Response, 1))
 }
 
 type reservation struct {
@@ -31,14 +31,14 @@
 
 // checkLimit checks that the last reservation didn't exceed its limit.
 func checkLimit(t *rapid.T, b *Budget, x reservation) {
-	if x.kind == Body && x.bytes <= SmallBody {
+	if x.kind == Body && x.bytes <= MaxSmallBody {
 		return
 	}
 	limit := float64(b.Limit())
 	if x.kind == Body {
 		limit *= LargeBodyFraction
 	}
-	if float64(b.Held(Body)+b.Held(Answer)) > limit {
+	if float64(b.Held(Body)+b.Held(Response)) > limit {
 		t.Fatalf("%d bytes of kind %d exceed the limit", x.bytes, x.kind)
 	}
 }
@@ -67,10 +67,10 @@
 				i := rapid.IntRange(0, len(reservations)-1).Draw(t, "which")
 				x := reservations[i]
 				to := rapid.IntRange(0, x.bytes).Draw(t, "rest")
-				b.Change(x.kind, x.bytes, to)
-				b.Return(x.kind, to)
+				b.Resize(x.kind, x.bytes, to)
+				b.Release(x.kind, to)
 				reservations = append(reservations[:i], reservations[i+1:]...)
-			} else if x := (reservation{Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), rapid.IntRange(0, 1<<19).Draw(t, "bytes")}); b.Take(x.kind, x.bytes) {
+			} else if x := (reservation{Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), rapid.IntRange(0, 1<<19).Draw(t, "bytes")}); b.Reserve(x.kind, x.bytes) {
 				reservations = append(reservations, x)
 				checkLimit(t, b, x)
 			}
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -288,7 +288,7 @@
 	if b := c.config.Backends[id]; b.Leaving || b.Evacuated {
 		return true
 	}
-	if !c.notices.Takes(c.now, id) {
+	if !c.notices.Accepts(c.now, id) {
 		return true
 	}
 	f := c.refused[id]
--- a/core/loads.go
+++ b/core/loads.go
@@ -146,7 +146,7 @@
 		}
 	}
 	before := l.plan.Serves
-	l.plan = relay.Of(self.Name, fleet)
+	l.plan = relay.PlanFor(self.Name, fleet)
 	for _, name := range before {
 		l.relayClients[name] = c.now // until its new relays have the new plan too
 	}
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -40,20 +40,20 @@
 	evictTo = maxLeaving * 3 / 4
 )
 
-// Book holds the notices that one router has received. It reads no clock.
-type Book struct {
+// Registry holds the notices that one router has received. It reads no clock.
+type Registry struct {
 	leaving map[model.BackendID]model.Time // when the last notice of leaving was received
 	rests   map[model.BackendID]model.Time // when the rest ends
 }
 
 // New returns an empty book.
-func New() *Book {
-	return &Book{leaving: map[model.BackendID]model.Time{}, rests: map[model.BackendID]model.Time{}}
+func New() *Registry {
+	return &Registry{leaving: map[model.BackendID]model.Time{}, rests: map[model.BackendID]model.Time{}}
 }
 
-// Take records a notice, and reports whether the backend server accepted new requests before and no longer does.
-func (b *Book) Take(now model.Time, id model.BackendID, n Notice) (changed bool) {
-	accepted := b.Takes(now, id)
+// Record records a notice, and reports whether the backend server accepted new requests before and no longer does.
+func (b *Registry) Record(now model.Time, id model.BackendID, n Notice) (changed bool) {
+	accepted := b.Accepts(now, id)
 	if n.Leaving {
 		b.leaving[id] = now
 		b.evictLeaving(now)
@@ -62,22 +62,22 @@
 		b.removeExpiredRests(now)
 		b.rests[id] = max(b.rests[id], now+n.Rest)
 	}
-	return accepted && !b.Takes(now, id)
+	return accepted && !b.Accepts(now, id)
 }
 
-// Takes reports whether a backend server accepts new requests according to its notices.
-func (b *Book) Takes(now model.Time, id model.BackendID) bool {
-	return !b.Leaves(now, id) && b.RestsUntil(now, id) == 0
+// Accepts reports whether a backend server accepts new requests according to its notices.
+func (b *Registry) Accepts(now model.Time, id model.BackendID) bool {
+	return !b.IsLeaving(now, id) && b.RestsUntil(now, id) == 0
 }
 
-// Leaves reports whether a notice of leaving applies to a backend server.
-func (b *Book) Leaves(now model.Time, id model.BackendID) bool {
+// IsLeaving reports whether a notice of leaving applies to a backend server.
+func (b *Registry) IsLeaving(now model.Time, id model.BackendID) bool {
 	at, found := b.leaving[id]
 	return found && now-at <= leavingTTL
 }
 
 // RestsUntil returns when a backend server's rest ends, 0 if it has none.
-func (b *Book) RestsUntil(now model.Time, id model.BackendID) model.Time {
+func (b *Registry) RestsUntil(now model.Time, id model.BackendID) model.Time {
 	until := b.rests[id]
 	if until <= now {
 		return 0
@@ -86,7 +86,7 @@
 }
 
 // removeExpiredRests deletes the rests that have ended.
-func (b *Book) removeExpiredRests(now model.Time) {
+func (b *Registry) removeExpiredRests(now model.Time) {
 	for id, until := range b.rests {
 		if until <= now {
 			delete(b.rests, id)
@@ -96,7 +96,7 @@
 
 // evictLeaving deletes, once there are more than maxLeaving notices of leaving, the expired ones and then the oldest
 // ones beyond evictTo.
-func (b *Book) evictLeaving(now model.Time) {
+func (b *Registry) evictLeaving(now model.Time) {
 	if len(b.leaving) <= maxLeaving {
 		return
 	}
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -44,12 +44,12 @@
 			r.notice.Rest = time.Duration(rapid.IntRange(0, 4000).Draw(t, "rest")) * time.Millisecond
 			before := accepts(all, now, r.id)
 			all = append(all, r)
-			changed := book.Take(now, r.id, r.notice)
+			changed := book.Record(now, r.id, r.notice)
 			if after := accepts(all, now, r.id); changed != (before && !after) {
 				t.Fatalf("changed is %v, accepted new requests before: %v, after: %v", changed, before, after)
 			}
 			for id := model.BackendID(1); id <= 4; id++ {
-				if got, want := book.Takes(now, id), accepts(all, now, id); got != want {
+				if got, want := book.Accepts(now, id), accepts(all, now, id); got != want {
 					t.Fatalf("server %d accepts new requests: %v, want %v", id, got, want)
 				}
 			}
@@ -62,21 +62,21 @@
 	book := New()
 	for i := range 2 * maxLeaving {
 		id := model.BackendID(i + 1)
-		book.Take(model.Time(i), id, Notice{Leaving: true})
-		book.Take(model.Time(i)*time.Second, id, Notice{Rest: time.Second})
+		book.Record(model.Time(i), id, Notice{Leaving: true})
+		book.Record(model.Time(i)*time.Second, id, Notice{Rest: time.Second})
 	}
 	is.True(len(book.leaving) <= maxLeaving && len(book.leaving) >= evictTo)
 	is.True(len(book.rests) <= 2)
-	is.True(book.Leaves(2*maxLeaving, 2*maxLeaving)) // the newest
-	is.True(!book.Leaves(2*maxLeaving, maxLeaving))  // evicted, as one of the oldest
+	is.True(book.IsLeaving(2*maxLeaving, 2*maxLeaving)) // the newest
+	is.True(!book.IsLeaving(2*maxLeaving, maxLeaving))  // evicted, as one of the oldest
 }
 
 func BenchmarkTakes(b *testing.B) {
 	book := New()
 	for i := range 500 {
-		book.Take(0, model.BackendID(i), Notice{Leaving: i%2 == 0, Rest: time.Second})
+		book.Record(0, model.BackendID(i), Notice{Leaving: i%2 == 0, Rest: time.Second})
 	}
 	for i := 0; b.Loop(); i++ {
-		book.Takes(model.Time(i), model.BackendID(i%1000))
+		book.Accepts(model.Time(i), model.BackendID(i%1000))
 	}
 }
--- a/core/prompt/home.go
+++ b/core/prompt/home.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	for _, id := range r.candidates {
-		if s := m.servers[id]; s != nil && s.engine && s.inService() && m.notices.Takes(m.now, id) &&
+		if s := m.servers[id]; s != nil && s.engine && s.inService() && m.notices.Accepts(m.now, id) &&
 			!s.health.excluded(m.now) && !s.cold.active(m.now) {
 			return s
 		}
--- a/core/prompt/prompt.go
+++ b/core/prompt/prompt.go
@@ -117,7 +117,7 @@
 	startup        startupAssumption
 	coldAssignment coldAssignment
 	usableFraction float64 // fraction of the engines that are not evacuated
-	notices        *notice.Book
+	notices        *notice.Registry
 	nextRetry      map[model.PoolID]model.Time // earliest retry time for the next caller refused with Resting
 }
 
@@ -227,7 +227,7 @@
 }
 
 // SetNotices sets the book of notices that backend servers have sent about themselves.
-func (m *Machine) SetNotices(notices *notice.Book) { m.notices = notices }
+func (m *Machine) SetNotices(notices *notice.Registry) { m.notices = notices }
 
 // SetRouters sets the number of live routers, this one included.
 func (m *Machine) SetRouters(n int) { m.routers = max(n, 1) }
--- a/core/prompt/rest.go
+++ b/core/prompt/rest.go
@@ -22,7 +22,7 @@
 func (m *Machine) restEnd(r *request) (first model.Time, resting int) {
 	for _, id := range m.byPool[r.Pool] {
 		s := m.servers[id]
-		if !s.inService() || m.notices.Leaves(m.now, id) || slices.Contains(r.Exclude, id) {
+		if !s.inService() || m.notices.IsLeaving(m.now, id) || slices.Contains(r.Exclude, id) {
 			continue
 		}
 		until := m.notices.RestsUntil(m.now, id)
--- a/core/prompt/server.go
+++ b/core/prompt/server.go
@@ -67,7 +67,7 @@
 
 // accepts reports whether a new request may be dispatched to a backend server now.
 func (m *Machine) accepts(s *server) bool {
-	return s.inService() && m.notices.Takes(m.now, s.id) && !s.health.excluded(m.now) && s.cold.accepts(m.now)
+	return s.inService() && m.notices.Accepts(m.now, s.id) && !s.health.excluded(m.now) && s.cold.accepts(m.now)
 }
 
 // inService reports whether the backend server is neither leaving nor evacuated, whatever its current state.
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -52,9 +52,9 @@
 	Serves []string
 }
 
-// Of returns a router's plan. The fleet must contain the router itself; otherwise the
+// PlanFor returns a router's plan. The fleet must contain the router itself; otherwise the
 // plan is empty.
-func Of(self string, fleet []Router) Plan {
+func PlanFor(self string, fleet []Router) Plan {
 	at := slices.IndexFunc(fleet, func(r Router) bool { return r.Name == self })
 	if at < 0 {
 		return Plan{}
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -27,19 +27,19 @@
 func broadcast(from string, fleet []Router) (first []string, reached map[string]bool) {
 	reached = map[string]bool{from: true}
 	heads := []string{from}
-	plan := Of(from, fleet)
+	plan := PlanFor(from, fleet)
 	if plan.Relay != "" {
 		first = []string{plan.Relay}
 		heads = first
 	}
 	for _, head := range heads {
-		p := Of(head, fleet)
+		p := PlanFor(head, fleet)
 		if plan.Relay == "" {
 			first = slices.Concat(p.Relays, p.Serves)
 		}
 		for _, name := range append(p.Relays, head) {
 			reached[name] = true
-			for _, served := range Of(name, fleet).Serves {
+			for _, served := range PlanFor(name, fleet).Serves {
 				reached[served] = true
 			}
 		}
@@ -69,7 +69,7 @@
 		root := math.Ceil(math.Sqrt(float64(routers)))
 		relays, messages := 0, 0
 		for _, r := range fleet {
-			p := Of(r.Name, fleet)
+			p := PlanFor(r.Name, fleet)
 			if p.Relay != "" {
 				is.Equal(len(p.Serves), 0)
 				messages++
@@ -86,7 +86,7 @@
 
 func TestSmallFleetsSendDirectly(t *testing.T) {
 	is := is.New(t)
-	p := Of("router-000", fleetOf(16, 3))
+	p := PlanFor("router-000", fleetOf(16, 3))
 	is.Equal(p.Relay, "")
 	is.Equal(len(p.Relays), 15)
 	is.Equal(len(p.Serves), 0)
@@ -98,7 +98,7 @@
 	for _, i := range []int{3, 17, 40} {
 		fleet[i].Processor = 0.8
 	}
-	relays := Of("router-000", fleet).Relays
+	relays := PlanFor("router-000", fleet).Relays
 	for _, i := range []int{3, 17, 40} {
 		is.True(slices.Contains(relays, fleet[i].Name))
 	}
@@ -115,7 +115,7 @@
 			return // the number of relays changes, so that many routers change theirs
 		}
 		for _, r := range remaining {
-			before, after := Of(r.Name, fleet), Of(r.Name, remaining)
+			before, after := PlanFor(r.Name, fleet), PlanFor(r.Name, remaining)
 			isRelay := before.Relay == "" || after.Relay == ""
 			newRelay := slices.Contains(after.Relays, after.Relay) && !slices.Contains(before.Relays, after.Relay)
 			if !isRelay && !newRelay && before.Relay != after.Relay && before.Relay != fleet[dead].Name &&
@@ -128,7 +128,7 @@
 
 func TestUnknownRouterHasEmptyPlan(t *testing.T) {
 	is := is.New(t)
-	p := Of("stranger", fleetOf(20, 2))
+	p := PlanFor("stranger", fleetOf(20, 2))
 	is.Equal(p.Relay, "")
 	is.Equal(len(p.Relays)+len(p.Serves), 0)
 }
--- a/core/reportdelivery_test.go
+++ b/core/reportdelivery_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	at := slices.IndexFunc(f.nodes, func(n *node) bool {
-		return n.hall == hall && !slices.Contains(without, n.name) && relay.Of(n.name, left).Relay == ""
+		return n.hall == hall && !slices.Contains(without, n.name) && relay.PlanFor(n.name, left).Relay == ""
 	})
 	return f.nodes[at]
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -47,14 +47,14 @@
 // decreases: after routers leave, the others continue with the smaller part.
 func (b *Budget) SetRouters(n int) { b.routers = max(n, b.routers) }
 
-// Request counts a request for a pool.
-func (b *Budget) Request(now model.Time, pool model.PoolID) {
+// CountRequest counts a request for a pool.
+func (b *Budget) CountRequest(now model.Time, pool model.PoolID) {
 	c := b.advance(now, pool)
 	c.requests[c.newest%(buckets+1)]++
 }
 
-// Take uses one retry for a pool, and reports whether there was one left.
-func (b *Budget) Take(now model.Time, pool model.PoolID) bool {
+// TryTake uses one retry for a pool, and reports whether there was one left.
+func (b *Budget) TryTake(now model.Time, pool model.PoolID) bool {
 	if b.limits.Window <= 0 {
 		return true
 	}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -29,10 +29,10 @@
 				now += requests[len(requests)-1]
 			}
 			b := fleet[rapid.IntRange(0, routers-1).Draw(t, "router")]
-			b.Request(now, 1)
+			b.CountRequest(now, 1)
 			requests = append(requests, now)
 			for range rapid.IntRange(0, 2).Draw(t, "failures") {
-				if b.Take(now, 1) {
+				if b.TryTake(now, 1) {
 					retries = append(retries, now)
 				}
 			}
@@ -62,12 +62,12 @@
 	is := is.New(t)
 	b := New(Limits{Slack: 10, Window: 10 * time.Second})
 	taken := 0
-	for b.Take(0, 1) {
+	for b.TryTake(0, 1) {
 		taken++
 	}
-	is.Equal(taken, 6)                   // margin times Slack
-	is.True(!b.Take(9*time.Second, 1))   // still in the window
-	is.True(b.Take(11*time.Second+1, 1)) // after it
-	is.True(b.Take(0, model.PoolID(2)))  // another pool has its own
-	is.True(New(Limits{}).Take(0, 1))    // no window, no limit
+	is.Equal(taken, 6)                      // margin times Slack
+	is.True(!b.TryTake(9*time.Second, 1))   // still in the window
+	is.True(b.TryTake(11*time.Second+1, 1)) // after it
+	is.True(b.TryTake(0, model.PoolID(2)))  // another pool has its own
+	is.True(New(Limits{}).TryTake(0, 1))    // no window, no limit
 }
--- a/core/slots.go
+++ b/core/slots.go
@@ -83,7 +83,7 @@
 // grants no slots while the notice asks for no new requests: the receiver couldn't use the grant and the slot would
 // idle.
 func (c *Core) applyNotice(e Noticed) {
-	c.notices.Take(c.now, e.Backend, e.Notice)
+	c.notices.Record(c.now, e.Backend, e.Notice)
 	if b := c.backends[e.Backend]; b != nil {
 		b.suspendedUntil = max(b.suspendedUntil, c.notices.RestsUntil(c.now, e.Backend))
 	}
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -33,7 +33,7 @@
 }
 
 // kindNames are the names of the kinds in metrics and logs.
-var kindNames = map[holding.Kind]string{holding.Body: "requests", holding.Answer: "answers"}
+var kindNames = map[holding.Kind]string{holding.Body: "requests", holding.Response: "answers"}
 
 // resize changes the size of a reservation.
 func (m *memory) resize(k holding.Kind, from, to int) {
@@ -42,7 +42,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.budget.Change(k, from, to)
+	m.budget.Resize(k, from, to)
 	m.updateGauge(k)
 }
 
@@ -53,7 +53,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.budget.Take(k, bytes) {
+	if !m.budget.Reserve(k, bytes) {
 		m.recordRefusal(k, bytes)
 		return false
 	}
@@ -70,12 +70,12 @@
 func (m *memory) recordRefusal(k holding.Kind, bytes int) {
 	m.metrics.GaveWay.WithLabelValues(kindNames[k]).Inc()
 	limiter, text := m.refusedLog, "no room: large requests refused unread"
-	if k == holding.Answer {
+	if k == holding.Response {
 		limiter, text = m.unbufferedLog, "no room: answers passed on in parts"
 	}
 	if n := limiter.due(); n > 0 {
 		m.log.Warn().Str("held", kindNames[k]).Int64("times", n).Int("bytes", bytes).Int("requests_bytes", m.budget.Held(holding.Body)).
-			Int("answers_bytes", m.budget.Held(holding.Answer)).Int("limit_bytes", m.budget.Limit()).Msg(text)
+			Int("answers_bytes", m.budget.Held(holding.Response)).Int("limit_bytes", m.budget.Limit()).Msg(text)
 	}
 }
 
@@ -117,7 +117,7 @@
 	if a.req.Header.IsHead() || response.StatusCode() == fasthttp.StatusNotModified {
 		limit = 0
 	}
-	if !a.service.memory.reserve(holding.Answer, limit) {
+	if !a.service.memory.reserve(holding.Response, limit) {
 		return 0, false
 	}
 	a.reserved.response = limit
@@ -126,7 +126,7 @@
 
 // resizeResponse adjusts the reservation to the given number of bytes of the response.
 func (a *attempt) resizeResponse(bytes int) {
-	a.service.memory.resize(holding.Answer, a.reserved.response, bytes)
+	a.service.memory.resize(holding.Response, a.reserved.response, bytes)
 	a.reserved.response = bytes
 }
 
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -53,7 +53,7 @@
 	tooLarge := requestWithBody(s, conn, limits.BodyBytes+1)
 	tooLarge.reserveBody(limits)
 	is.True(tooLarge.refused == nil) // not for lack of memory: it is refused for its size
-	for _, length := range []int{holding.SmallBody, -1} {
+	for _, length := range []int{holding.MaxSmallBody, -1} {
 		a := requestWithBody(s, conn, length)
 		a.reserveBody(limits)
 		is.True(a.refused == nil)
--- a/notices/notices.go
+++ b/notices/notices.go
@@ -29,7 +29,7 @@
 	counter   *prometheus.CounterVec // by kind
 
 	mu   sync.Mutex
-	book *notice.Book
+	book *notice.Registry
 }
 
 // New returns an empty board. It counts received notices by kind in counter.
@@ -52,7 +52,7 @@
 	b.decisions.Tell(core.Noticed{Backend: id, Notice: n})
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.Take(b.clock.Now(), id, n)
+	return b.book.Record(b.clock.Now(), id, n)
 }
 
 // Unreadable counts a notice that can't be parsed.
@@ -62,5 +62,5 @@
 func (b *Board) Takes(id model.BackendID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.Takes(b.clock.Now(), id)
+	return b.book.Accepts(b.clock.Now(), id)
 }
