--- a/core/charge.go
+++ b/core/charge.go
@@ -22,7 +22,7 @@
 	if c.config.Policy.SettleAtEnd {
 		return r.expected - output
 	}
-	return min(c.lengths(r).Rest(output), c.config.Policy.LookAhead)
+	return min(c.lengths(r).Remaining(output), c.config.Policy.LookAhead)
 }
 
 func (c *Core) chargeTokens(r *request, tokens float64) {
--- a/core/cold/cold.go
+++ b/core/cold/cold.go
@@ -65,9 +65,9 @@
 
 func hashOf(name string) uint64 { return model.Rendezvous(name, "cold") }
 
-// Part returns the maximum number of requests that a router may send to a cold backend server within any second, given
+// Quota returns the maximum number of requests that a router may send to a cold backend server within any second, given
 // the fleet's bound.
-func (r *Ring) Part(self, server string, bound int) int {
+func (r *Ring) Quota(self, server string, bound int) int {
 	n := min(maxSenders, len(r.points))
 	start, _ := slices.BinarySearchFunc(r.points, hashOf(server), func(p point, hash uint64) int {
 		return cmp.Compare(p.hash, hash)
@@ -92,8 +92,8 @@
 // Meter counts the requests that this router has recently sent to one backend server.
 type Meter struct{ sent []model.Time }
 
-// Note records that a request is sent.
-func (m *Meter) Note(now model.Time) {
+// Record records that a request is sent.
+func (m *Meter) Record(now model.Time) {
 	m.removeExpired(now)
 	m.sent = append(m.sent, now)
 }
--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -41,7 +41,7 @@
 		sum := 0
 		for _, router := range fleet {
 			view := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "view of "+router)
-			sum += rings[view].Part(router, "engine", bound)
+			sum += rings[view].Quota(router, "engine", bound)
 		}
 		if sum > bound {
 			t.Fatalf("%d requests a second exceed the bound of %d", sum, bound)
@@ -59,13 +59,13 @@
 		ring := NewRing(fleet)
 		sum := 0
 		for _, router := range fleet {
-			sum += ring.Part(router, "engine", bound)
+			sum += ring.Quota(router, "engine", bound)
 		}
 		is.Equal(sum, bound/2)
 	}
-	is.Equal(NewRing(names(1)).Part("router-0", "engine", 1), 1)
-	is.Equal(NewRing(names(1)).Part("router-0", "engine", 0), 0)
-	is.Equal(NewRing(nil).Part("router-0", "engine", 14), 0)
+	is.Equal(NewRing(names(1)).Quota("router-0", "engine", 1), 1)
+	is.Equal(NewRing(names(1)).Quota("router-0", "engine", 0), 0)
+	is.Equal(NewRing(nil).Quota("router-0", "engine", 14), 0)
 }
 
 // TestQuotasAreSpreadOverRouters counts the cold backend servers that each router sends to.
@@ -77,7 +77,7 @@
 	for _, router := range fleet {
 		n := 0
 		for server := range 140 {
-			if ring.Part(router, fmt.Sprintf("engine-%d", server), 14) > 0 {
+			if ring.Quota(router, fmt.Sprintf("engine-%d", server), 14) > 0 {
 				n++
 			}
 		}
@@ -101,7 +101,7 @@
 			if meter.Sent(now) >= quota {
 				continue
 			}
-			meter.Note(now)
+			meter.Record(now)
 			sent = append(sent, now)
 		}
 		for i := quota; i < len(sent); i++ {
@@ -121,7 +121,7 @@
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			ring := NewRing(names(routers))
 			for b.Loop() {
-				ring.Part("router-1", "engine-1", 14)
+				ring.Quota("router-1", "engine-1", 14)
 			}
 		})
 	}
--- a/core/estimate/estimate.go
+++ b/core/estimate/estimate.go
@@ -58,8 +58,8 @@
 	l.unit = 1
 }
 
-// Rest returns the number of tokens still expected of a request that has produced n, at least 1.
-func (l *Lengths) Rest(n float64) float64 {
+// Remaining returns the number of tokens still expected of a request that has produced n, at least 1.
+func (l *Lengths) Remaining(n float64) float64 {
 	var count, sum float64
 	for b := bucketOf(n); b < buckets; b++ {
 		if l.count[b] == 0 || l.sum[b]/l.count[b] < n {
--- a/core/grant.go
+++ b/core/grant.go
@@ -150,6 +150,6 @@
 // expectedService returns the expected service of a request that waits at another router.
 func (c *Core) expectedService(key model.Key, class model.Class) model.Service {
 	r := request{key: key, class: class}
-	r.expected = c.lengths(&r).Rest(0)
+	r.expected = c.lengths(&r).Remaining(0)
 	return model.ServiceOf(c.ahead(&r, 0), c.weightOf(key.Account))
 }
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -208,7 +208,7 @@
 	q.running++
 	c.running[backend]++
 	q.recordDispatch(c.now)
-	r.expected = c.lengths(r).Rest(0)
+	r.expected = c.lengths(r).Remaining(0)
 	c.charge(r, 0)
 	c.do(Dispatch{ID: r.id, Backend: backend, Waited: c.now - r.arrived})
 	return true
--- a/core/prompt/coldstart.go
+++ b/core/prompt/coldstart.go
@@ -88,7 +88,7 @@
 		if !allowed || !s.cold.active(m.now) {
 			continue
 		}
-		s.cold.quota = m.coldAssignment.ring.Part(m.coldAssignment.self, s.Name, m.config.Pools[s.Pool].ColdBound)
+		s.cold.quota = m.coldAssignment.ring.Quota(m.coldAssignment.self, s.Name, m.config.Pools[s.Pool].ColdBound)
 		if s.cold.quota > 0 {
 			m.coldAssignment.assigned[s.Pool] = append(m.coldAssignment.assigned[s.Pool], id)
 		}
--- a/core/prompt/queue.go
+++ b/core/prompt/queue.go
@@ -237,7 +237,7 @@
 	s := p.server
 	r.server = s
 	if s.cold.active(m.now) {
-		s.cold.meter.Note(m.now)
+		s.cold.meter.Record(m.now)
 	}
 	r.flight = s.send(m.now, p.prefillTokens, p.delay+r.Lag)
 	r.flight.queueDelay, r.flight.copied = p.queueDelay, p.copySource != nil
