--- a/blame/blame.go
+++ b/blame/blame.go
@@ -85,7 +85,7 @@
 	}
 	c.tracker.Ended.Inc()
 	c.tracker.Decisions.Tell(core.ServerEnded{
-		Fingerprint: c.Fingerprint(), Account: c.account, Backend: s.Backend, Ran: ran, Begun: s.Begun,
+		Fingerprint: c.Fingerprint(), Account: c.account, Backend: s.Backend, RunTime: ran, Begun: s.Begun,
 	})
 	return true
 }
--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -50,12 +50,12 @@
 }
 
 var systems = []system{
-	{"central", fleetfair.Policy, todaysHalls[:1]},
-	{"central, whole rest", wholeRest(), todaysHalls[:1]},
-	{"central, settled at the end", settledAtEnd(), todaysHalls[:1]},
-	{"fleet-fair", fleetfair.Policy, todaysHalls},
-	{"static-split", staticsplit.Policy, todaysHalls},
-	{"least-loaded", leastloaded.Policy, todaysHalls},
+	{"central", fleetfair.Policy, nineRouterHalls[:1]},
+	{"central, whole rest", wholeRest(), nineRouterHalls[:1]},
+	{"central, settled at the end", settledAtEnd(), nineRouterHalls[:1]},
+	{"fleet-fair", fleetfair.Policy, nineRouterHalls},
+	{"static-split", staticsplit.Policy, nineRouterHalls},
+	{"least-loaded", leastloaded.Policy, nineRouterHalls},
 }
 
 // figures are the results of one run.
@@ -69,7 +69,7 @@
 
 // measure runs a fleet with every account backlogged. A fault, if any, begins at 120 s and is over by 240 s.
 func measure(s system, seed uint64, length time.Duration, fault func(*fleet)) figures {
-	f := newFleet(seed, todaysConfig(s.policy), s.halls)
+	f := newFleet(seed, nineRouterConfig(s.policy), s.halls)
 	backlog(f, seed, benchDepth)
 	if fault != nil {
 		f.after(120*time.Second, func() { fault(f) })
@@ -98,7 +98,7 @@
 	spent := time.Since(began)
 	out.gap, out.mean = m.worst, m.mean()
 	out.busy = float64(used) / float64(could)
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		out.bytes = max(out.bytes, float64(n.bytes)/f.time.Now().Seconds())
 	}
 	out.step = spent / time.Duration(f.steps)
@@ -145,16 +145,16 @@
 }{
 	{"none (the store out all the time)", nil},
 	{"a router killed, back after 30 s", func(f *fleet) {
-		n := f.nodes[1]
+		n := f.routers[1]
 		f.kill(n)
 		f.after(30*time.Second, func() { f.start(n) })
 	}},
 	{"the fleet cut in two for 30 s", func(f *fleet) {
-		f.cut = func(a, b *node) bool { return (a.hall == "a") != (b.hall == "a") }
+		f.cut = func(a, b *testRouter) bool { return (a.hall == "a") != (b.hall == "a") }
 		f.after(30*time.Second, func() { f.cut = nil })
 	}},
 	{"all routers restarted one by one", func(f *fleet) {
-		for i, n := range f.nodes {
+		for i, n := range f.routers {
 			f.after(time.Duration(i)*10*time.Second, func() { f.kill(n) })
 			f.after(time.Duration(i)*10*time.Second+5*time.Second, func() { f.start(n) })
 		}
@@ -172,7 +172,7 @@
 	refill = func() {
 		for _, name := range accountNames(10) {
 			l := &closedLoad{fleet: f, random: random, account: model.Account(name), batch: 1, mean: 300, spread: 1}
-			for r := range f.nodes {
+			for r := range f.routers {
 				l.routers = append(l.routers, r)
 			}
 			for f.waiting(l.account) < benchDepth/2 {
@@ -215,8 +215,8 @@
 		fleet: f, random: random, account: model.Account(accountNames(10)[account]),
 		mean: 100, spread: 0.7,
 	}
-	for r := range f.nodes {
-		if account < 3 || r == account%len(f.nodes) || r == (account*4)%len(f.nodes) {
+	for r := range f.routers {
+		if account < 3 || r == account%len(f.routers) || r == (account*4)%len(f.routers) {
 			l.routers = append(l.routers, r)
 		}
 	}
@@ -252,7 +252,7 @@
 // that sends 50 times equalRate.
 func floodWaits(s system, flood bool) (waits []time.Duration) {
 	for _, seed := range benchSeeds {
-		config := todaysConfig(s.policy)
+		config := nineRouterConfig(s.policy)
 		for id, a := range config.Accounts {
 			a.Limits.Queue = 50
 			config.Accounts[id] = a
@@ -290,7 +290,7 @@
 
 // config returns the configuration and the routers' data halls for a size.
 func (s fleetSize) config() (*Config, []string) {
-	config := todaysConfig(fleetfair.Policy)
+	config := nineRouterConfig(fleetfair.Policy)
 	clear(config.Backends)
 	clear(config.Accounts)
 	var halls []string
@@ -311,11 +311,11 @@
 func (s fleetSize) load(f *fleet) {
 	random := rand.New(rand.NewPCG(1, 1))
 	names := accountNames(s.accounts)
-	submit := func(n *node, class model.Class, output float64) {
+	submit := func(n *testRouter, class model.Class, output float64) {
 		account := model.Account(names[random.IntN(s.backlogged)])
 		f.submit(n, account, model.Pool(assistant), class, 50, output, time.Hour)
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		for range 4 * s.backends {
 			submit(n, model.Batch, 1e7)
 		}
@@ -326,7 +326,7 @@
 	}
 	var arrive func()
 	arrive = func() {
-		submit(f.nodes[random.IntN(len(f.nodes))], model.Interactive, 20)
+		submit(f.routers[random.IntN(len(f.routers))], model.Interactive, 20)
 		f.after(time.Duration(random.ExpFloat64()/s.rate/float64(s.routers)*1e9), arrive)
 	}
 	arrive()
@@ -335,7 +335,7 @@
 // sent returns the number of bytes sent by the routers: in total, the most by one router, and by part of the datagram.
 func (f *fleet) sent() (all, most int64, parts map[string]int64) {
 	parts = map[string]int64{}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		all += n.bytes
 		most = max(most, n.bytes)
 		for k, v := range n.parts {
@@ -354,7 +354,7 @@
 	config, halls := s.config()
 	f := newFleet(1, config, halls)
 	s.load(f)
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		n.bytes = 0
 		clear(n.parts)
 	}
--- a/core/byprompt.go
+++ b/core/byprompt.go
@@ -17,7 +17,7 @@
 
 // configurePrompt passes the configuration to package prompt.
 func (c *Core) configurePrompt() {
-	c.loads.presence.wanted = c.byPrompt()
+	c.loads.presence.enabled = c.byPrompt()
 	if !c.byPrompt() {
 		return
 	}
@@ -54,19 +54,19 @@
 
 // arriveByPrompt processes a request under a policy that decides by prompt.
 func (c *Core) arriveByPrompt(e Arrive) {
-	if !e.Repeat {
+	if !e.Retry {
 		c.retries.CountRequest(c.now, e.Pool)
 	} else if !c.retries.TryTake(c.now, e.Pool) {
-		c.do(Refuse{ID: e.ID, Reason: RetryBudget, RetryAfter: retryBudgetPause})
+		c.emit(Refuse{ID: e.ID, Reason: RetryBudget, RetryAfter: retryBudgetPause})
 		return
 	}
 	key := model.Key{Pool: e.Pool, Account: e.Account}
 	c.promptKeys[e.ID] = key
 	in := prompt.Request{
 		ID: e.ID, Account: e.Account, Pool: e.Pool, Route: e.Route, Prompt: e.Prompt,
-		Objective: e.Objective, Wait: e.Wait, Priority: e.Priority, Exclude: e.Except, Lag: e.Lag,
+		Objective: e.Objective, Wait: e.Wait, Priority: e.Priority, Exclude: e.Exclude, Lag: e.Lag,
 	}
-	if cost := c.prompt.CostOf(&in); cost > 0 && len(e.Except) == 0 {
+	if cost := c.prompt.CostOf(&in); cost > 0 && len(e.Exclude) == 0 {
 		c.countByPrompt(key, cost, 0)
 	}
 	c.prompt.Arrive(c.now, in)
@@ -74,7 +74,7 @@
 
 // turnedAway counts requests that were refused before they reached the core: an account's demand affects the shares of
 // the others wherever its requests are refused.
-func (c *Core) turnedAway(e TurnedAway) {
+func (c *Core) turnedAway(e RefusedUnread) {
 	for _, r := range e.Requests {
 		in := prompt.Request{Account: r.Account, Pool: r.Pool, Route: r.Route, Prompt: r.Prompt}
 		if c.config.Pools[r.Pool].FollowLoad {
@@ -111,9 +111,9 @@
 			c.dispatchedByPrompt(a)
 		case prompt.Refuse:
 			delete(c.promptKeys, a.ID)
-			c.do(Refuse{
+			c.emit(Refuse{
 				ID: a.ID, Reason: Refusal(a.Reason), RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis,
-				Holds: a.ValidFor,
+				ValidFor: a.ValidFor,
 			})
 		}
 	}
@@ -125,7 +125,7 @@
 		c.countByPrompt(key, 0, cost)
 	}
 	c.loads.changed = true
-	c.do(Dispatch{
+	c.emit(Dispatch{
 		ID: a.ID, Backend: a.Backend, Waited: a.Waited, Basis: a.Basis,
 		CopyFrom: a.CopyFrom, Copied: a.Copied,
 	})
--- a/core/charge.go
+++ b/core/charge.go
@@ -5,8 +5,8 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// kind identifies the requests that share an output estimate.
-type kind struct {
+// estimateKey identifies the requests that share an output estimate.
+type estimateKey struct {
 	key   model.Key
 	class model.Class
 }
@@ -51,7 +51,7 @@
 }
 
 func (c *Core) lengths(r *request) *estimate.Lengths {
-	k := kind{key: r.key, class: r.class}
+	k := estimateKey{key: r.key, class: r.class}
 	l := c.estimates[k]
 	if l == nil {
 		prior := c.config.Pools[r.key.Pool].ExpectedOutput
--- a/core/core.go
+++ b/core/core.go
@@ -73,10 +73,10 @@
 	waiting   []model.Key // of the queues in which a request waits, in order
 	deadlines deadlines
 	running   map[model.BackendID]int
-	refused   map[model.BackendID]*exclusion
+	excluded  map[model.BackendID]*exclusion
 	owners    map[string]*ownerLink
 	asks      map[model.PoolID]*ask
-	estimates map[kind]*estimate.Lengths
+	estimates map[estimateKey]*estimate.Lengths
 	budget    bucket
 
 	// As owner.
@@ -113,10 +113,10 @@
 		requests:   map[RequestID]*request{},
 		queues:     map[model.Key]*queue{},
 		running:    map[model.BackendID]int{},
-		refused:    map[model.BackendID]*exclusion{},
+		excluded:   map[model.BackendID]*exclusion{},
 		owners:     map[string]*ownerLink{},
 		asks:       map[model.PoolID]*ask{},
-		estimates:  map[kind]*estimate.Lengths{},
+		estimates:  map[estimateKey]*estimate.Lengths{},
 		budget:     bucket{rate: reportBytesPerSecond, size: reportBytesPerSecond, level: reportBytesPerSecond},
 		backends:   map[model.BackendID]*backend{},
 		sources:    map[string]*source{},
@@ -142,15 +142,15 @@
 // may not.
 func (c *Core) LimitCold(limits cold.Limits) { c.coldLimits = limits }
 
-// HomesInHalls assigns prompts with common parts a home in each data hall instead of one in the fleet. It must be
+// AssignHomesPerDataHall assigns prompts with common parts a home in each data hall instead of one in the fleet. It must be
 // called before a configuration is in force.
-func (c *Core) HomesInHalls() { c.hallHomes = true }
+func (c *Core) AssignHomesPerDataHall() { c.hallHomes = true }
 
 // LimitLoads sets how many bytes a second of load reports this router sends to each receiver: both its own reports and
 // those that it forwards as a relay.
 func (c *Core) LimitLoads(bytesPerSecond float64) {
 	c.loads = newLoadExchange(bytesPerSecond)
-	c.loads.presence.wanted = c.byPrompt()
+	c.loads.presence.enabled = c.byPrompt()
 }
 
 // Step processes one event at a time that doesn't decrease, and returns the resulting actions in order.
@@ -166,16 +166,16 @@
 	c.decideByPrompt()
 	c.exchangeLedger()
 	c.flushReports()
-	c.followSuspicions()
-	c.askUnheard()
+	c.reportSuspicionChanges()
+	c.requestMissingReports()
 	c.flushLoads()
-	c.followOverdue()
+	c.checkOverdue()
 	c.flushOutbox()
 	return c.actions
 }
 
-// Late records that this router runs behind schedule, so that missing messages may be due to its own delay.
-func (c *Core) Late(now model.Time) { c.members.RecordLate(max(c.now, now)) }
+// RecordDelay records that this router runs behind schedule, so that missing messages may be due to its own delay.
+func (c *Core) RecordDelay(now model.Time) { c.members.RecordLate(max(c.now, now)) }
 
 func (c *Core) handle(e Event) {
 	switch e := e.(type) {
@@ -184,11 +184,11 @@
 		c.configure(e.Config)
 	case Arrive:
 		if !c.holdBack(e) {
-			c.arrived(e)
+			c.processArrival(e)
 		}
 	case TryAnswered:
 		c.tryAnswered(e)
-	case TurnedAway:
+	case RefusedUnread:
 		if c.byPrompt() {
 			c.turnedAway(e)
 		}
@@ -210,13 +210,13 @@
 		c.applyLoad(e)
 	case Leaving:
 		c.setLeaving(e.Backends)
-	case Noticed:
+	case NoticeReceived:
 		c.applyNotice(e)
 	case ServerEnded:
 		c.serverEnded(e)
 	case Answered:
 		c.answered(e)
-	case HeldInStore:
+	case HeldRequestsLoaded:
 		c.restoreSuspicions(e.Suspicions)
 	case StoreContacted:
 		c.contacted(e)
@@ -225,8 +225,8 @@
 	}
 }
 
-// arrived processes a request that isn't held back.
-func (c *Core) arrived(e Arrive) {
+// processArrival processes a request that isn't held back.
+func (c *Core) processArrival(e Arrive) {
 	if c.byPrompt() {
 		c.arriveByPrompt(e)
 		return
@@ -243,7 +243,7 @@
 // minWake is the shortest interval between two ticks.
 const minWake = time.Millisecond
 
-func (c *Core) do(a Action) {
+func (c *Core) emit(a Action) {
 	c.actions = append(c.actions, a)
 }
 
@@ -253,7 +253,9 @@
 }
 
 // Idle reports whether no request waits or runs at this router.
-func (c *Core) Idle() bool { return len(c.requests)+len(c.suspicions.asking) == 0 && c.prompt.Idle() }
+func (c *Core) Idle() bool {
+	return len(c.requests)+len(c.suspicions.pendingTries) == 0 && c.prompt.Idle()
+}
 
 func (c *Core) probe() {
 	for _, s := range c.members.Tick(c.now) {
@@ -269,20 +271,20 @@
 }
 
 func (c *Core) sendProbe(s member.Send) {
-	d := c.to(s.To)
+	d := c.datagramTo(s.To)
 	d.Probe = s.Probe
 	d.Rumours = c.members.Rumours(s.To)
 }
 
 func (c *Core) memberChanged(change member.Change) {
-	c.loads.planned = false
+	c.loads.planCurrent = false
 	if change.Restarted || change.Status == wire.Status_STATUS_DEAD {
 		c.removeSource(change.Name)
 		c.forgetLoads(change)
 		delete(c.overdue.alive, change.Name)
 		delete(c.owners, change.Name)
 	}
-	c.do(MemberChanged{Change: change})
+	c.emit(MemberChanged{Change: change})
 }
 
 func (c *Core) exchangeLedger() {
@@ -292,7 +294,7 @@
 }
 
 func (c *Core) sendLedger(s ledger.Message) {
-	d := c.to(s.To)
+	d := c.datagramTo(s.To)
 	if s.Up != nil {
 		d.Up = s.Up
 	}
@@ -330,7 +332,7 @@
 			return
 		}
 		if c.members.Get(names[i]).Reachable() {
-			c.to(names[i])
+			c.datagramTo(names[i])
 			notified++
 		}
 	}
--- a/core/datagram.go
+++ b/core/datagram.go
@@ -19,20 +19,20 @@
 	if c.members.Get(d.From) == nil {
 		return
 	}
-	c.askDead(d.From)
+	c.probeDead(d.From)
 	c.applyStoreAge(d.StoreAgeMs)
-	c.takeSuspicions(d.Suspicions)
-	c.compareSuspicions(d)
+	c.mergeSuspicions(d.Suspicions)
+	c.sendMissingSuspicions(d)
 	if d.Probe != nil {
 		for _, s := range c.members.Receive(c.now, d.From, d.Probe) {
 			c.sendProbe(s)
 		}
 	}
 	for _, f := range d.Free {
-		c.hint(d.From, model.PoolID(f.Pool), int(f.Slots))
+		c.recordFreeSlots(d.From, model.PoolID(f.Pool), int(f.Slots))
 	}
 	if len(d.Loads) > 0 || d.LoadsTo == wire.PassOn_PASS_ON_ALL {
-		c.takeLoads(d)
+		c.receiveLoads(d)
 	}
 	if d.Report != nil {
 		c.applyReport(d.From, d.Report)
@@ -51,20 +51,20 @@
 	if theirs.Exceed(c.config.Versions()) {
 		from := c.members.Get(d.From)
 		near := from.DataHall == c.members.Self().DataHall
-		c.do(GenerationSeen{From: d.From, Address: from.Address, Near: near, Versions: theirs})
+		c.emit(NewerVersionSeen{From: d.From, Address: from.Address, SameDataHall: near, Versions: theirs})
 	}
 }
 
-// askDead probes a router that is considered dead and from which a datagram has just been received, so that it can
+// probeDead probes a router that is considered dead and from which a datagram has just been received, so that it can
 // refute its death.
-func (c *Core) askDead(name string) {
+func (c *Core) probeDead(name string) {
 	for _, s := range c.members.PingDead(c.now, name) {
 		c.sendProbe(s)
 	}
 }
 
-// to returns the datagram that is assembled for a router in this step.
-func (c *Core) to(name string) *wire.Datagram {
+// datagramTo returns the datagram that is assembled for a router in this step.
+func (c *Core) datagramTo(name string) *wire.Datagram {
 	d := c.outbox[name]
 	if d == nil {
 		d = &wire.Datagram{To: name}
@@ -92,6 +92,6 @@
 			d.Free = c.freeSlots()
 		}
 		far := m.DataHall != c.members.Self().DataHall
-		c.do(Send{To: name, Address: m.Address, Far: far, Datagram: d})
+		c.emit(Send{To: name, Address: m.Address, OtherDataHall: far, Datagram: d})
 	}
 }
--- a/core/event.go
+++ b/core/event.go
@@ -33,20 +33,20 @@
 	Prompt    model.Prompt
 	Objective time.Duration // for the time until the answer begins, 0 for none
 	Priority  int           // of the route; 0 is the highest
-	Except    []model.BackendID
-	// Repeat reports that the request was sent to a backend server before and counts against the retry budget.
-	Repeat bool
+	Exclude   []model.BackendID
+	// Retry reports that the request was sent to a backend server before and counts against the retry budget.
+	Retry bool
 	// Lag is how far this process is currently behind schedule.
 	Lag time.Duration
 	// Fingerprint identifies a request that may be held back, 0 if no request of its account is under suspicion.
 	Fingerprint model.Fingerprint
 }
 
-// TurnedAway lists requests that were refused before they reached the core; they count towards their accounts' demand.
-type TurnedAway struct{ Requests []Unread }
+// RefusedUnread lists requests that were refused before they reached the core; they count towards their accounts' demand.
+type RefusedUnread struct{ Requests []UnreadRequest }
 
-// Unread is the header information of a request whose body wasn't read.
-type Unread struct {
+// UnreadRequest is the header information of a request whose body wasn't read.
+type UnreadRequest struct {
 	Account model.AccountID
 	Pool    model.PoolID
 	Route   uint32 // hash of the route's name
@@ -93,17 +93,17 @@
 	Fingerprint model.Fingerprint
 	Account     model.AccountID
 	Backend     model.BackendID
-	Ran         time.Duration // since the request was sent
+	RunTime     time.Duration // since the request was sent
 	Begun       bool          // part of its answer had been received
 }
 
 // Answered reports that a request has received a complete answer from a backend server.
 type Answered struct{ Fingerprint model.Fingerprint }
 
-// HeldInStore lists the held-back requests that the store contains.
-type HeldInStore struct{ Suspicions []*wire.Suspicion }
+// HeldRequestsLoaded lists the held-back requests that the store contains.
+type HeldRequestsLoaded struct{ Suspicions []*wire.Suspicion }
 
-// TryAnswered is the answer to an AskTry.
+// TryAnswered is the answer to an RequestTry.
 type TryAnswered struct {
 	ID      RequestID
 	Granted bool
@@ -130,8 +130,8 @@
 // Leaving lists the backend servers that are leaving or removed according to the VM list.
 type Leaving struct{ Backends []model.BackendID }
 
-// Noticed is a notice about a backend server's state that it has sent to this router.
-type Noticed struct {
+// NoticeReceived is a notice about a backend server's state that it has sent to this router.
+type NoticeReceived struct {
 	Backend model.BackendID
 	Notice  notice.Notice
 }
@@ -142,25 +142,25 @@
 // Drain makes the router accept no new requests and hand over the backend servers that it owns.
 type Drain struct{}
 
-func (Tick) event()           {}
-func (Configure) event()      {}
-func (Arrive) event()         {}
-func (TurnedAway) event()     {}
-func (Progress) event()       {}
-func (Began) event()          {}
-func (Finish) event()         {}
-func (Abandon) event()        {}
-func (Receive) event()        {}
-func (Routers) event()        {}
-func (StoreContacted) event() {}
-func (Load) event()           {}
-func (Leaving) event()        {}
-func (Noticed) event()        {}
-func (Drain) event()          {}
-func (ServerEnded) event()    {}
-func (Answered) event()       {}
-func (HeldInStore) event()    {}
-func (TryAnswered) event()    {}
+func (Tick) event()               {}
+func (Configure) event()          {}
+func (Arrive) event()             {}
+func (RefusedUnread) event()      {}
+func (Progress) event()           {}
+func (Began) event()              {}
+func (Finish) event()             {}
+func (Abandon) event()            {}
+func (Receive) event()            {}
+func (Routers) event()            {}
+func (StoreContacted) event()     {}
+func (Load) event()               {}
+func (Leaving) event()            {}
+func (NoticeReceived) event()     {}
+func (Drain) event()              {}
+func (ServerEnded) event()        {}
+func (Answered) event()           {}
+func (HeldRequestsLoaded) event() {}
+func (TryAnswered) event()        {}
 
 // Action is an output of the core; the types below implement it.
 type Action interface{ action() }
@@ -183,13 +183,13 @@
 
 // The reasons for which the core refuses a request.
 const (
-	QueueFull   Refusal = "queue-full"
-	RateLimited Refusal = "rate-limited"
-	WaitedLong  Refusal = "wait-exceeded"
-	Draining    Refusal = "draining"
-	Unreachable Refusal = "backends-unreachable"
-	Withdrawn   Refusal = "account-withdrawn"
-	RetryBudget Refusal = "retry-budget"
+	QueueFull        Refusal = "queue-full"
+	RateLimited      Refusal = "rate-limited"
+	WaitExceeded     Refusal = "wait-exceeded"
+	Draining         Refusal = "draining"
+	Unreachable      Refusal = "backends-unreachable"
+	AccountWithdrawn Refusal = "account-withdrawn"
+	RetryBudget      Refusal = "retry-budget"
 	// HeldBack is for a request during which backend servers have terminated.
 	HeldBack Refusal = "held-back"
 )
@@ -201,16 +201,16 @@
 	RetryAfter time.Duration
 	Waited     time.Duration
 	Basis      prompt.Basis // of the decision, if the policy decides by prompt
-	// Holds is how long the reason is expected to apply to other requests of the account and route.
-	Holds time.Duration
+	// ValidFor is how long the reason is expected to apply to other requests of the account and route.
+	ValidFor time.Duration
 }
 
 // Send sends a datagram to another router.
 type Send struct {
-	To       string
-	Address  string
-	Far      bool // to another data hall
-	Datagram *wire.Datagram
+	To            string
+	Address       string
+	OtherDataHall bool // to another data hall
+	Datagram      *wire.Datagram
 }
 
 // Watch sets the backend servers whose load this router is to query.
@@ -226,13 +226,13 @@
 	Unconfirmed int // messages without a confirmation that they were forwarded
 }
 
-// GenerationSeen reports that another router has a newer configuration in force, a newer catalog of backend servers, or
+// NewerVersionSeen reports that another router has a newer configuration in force, a newer catalog of backend servers, or
 // newer evacuations.
-type GenerationSeen struct {
-	From     string
-	Address  string
-	Near     bool // in this router's data hall
-	Versions Versions
+type NewerVersionSeen struct {
+	From         string
+	Address      string
+	SameDataHall bool // in this router's data hall
+	Versions     Versions
 }
 
 // WatchStore reports whether this router is one of the few that watch the store for the operators' changes and for
@@ -251,9 +251,9 @@
 // ContactStore requests a small read of the store; StoreContacted reports whether it was answered.
 type ContactStore struct{}
 
-// Suspected lists the accounts of requests during which backend servers have terminated. Only their requests need a
+// SuspectedAccounts lists the accounts of requests during which backend servers have terminated. Only their requests need a
 // fingerprint.
-type Suspected struct{ Accounts []model.AccountID }
+type SuspectedAccounts struct{ Accounts []model.AccountID }
 
 // HeldChanged reports that a request is held back, is no longer held back, or that a try of it has failed.
 type HeldChanged struct {
@@ -263,8 +263,8 @@
 	Suspicion *wire.Suspicion
 }
 
-// AskTry asks whether a held-back request may be sent once more, which only one router may do at a time.
-type AskTry struct {
+// RequestTry asks whether a held-back request may be sent once more, which only one router may do at a time.
+type RequestTry struct {
 	ID          RequestID
 	Fingerprint model.Fingerprint
 }
@@ -276,17 +276,17 @@
 	Ends        int
 }
 
-func (Dispatch) action()       {}
-func (Suspected) action()      {}
-func (HeldChanged) action()    {}
-func (Tried) action()          {}
-func (AskTry) action()         {}
-func (Refuse) action()         {}
-func (Send) action()           {}
-func (Watch) action()          {}
-func (MemberChanged) action()  {}
-func (RelayChanged) action()   {}
-func (GenerationSeen) action() {}
-func (WatchStore) action()     {}
-func (StoreReturned) action()  {}
-func (ContactStore) action()   {}
+func (Dispatch) action()          {}
+func (SuspectedAccounts) action() {}
+func (HeldChanged) action()       {}
+func (Tried) action()             {}
+func (RequestTry) action()        {}
+func (Refuse) action()            {}
+func (Send) action()              {}
+func (Watch) action()             {}
+func (MemberChanged) action()     {}
+func (RelayChanged) action()      {}
+func (NewerVersionSeen) action()  {}
+func (WatchStore) action()        {}
+func (StoreReturned) action()     {}
+func (ContactStore) action()      {}
--- a/core/fleet_test.go
+++ b/core/fleet_test.go
@@ -18,29 +18,29 @@
 // datagrams and partition the routers. The backend servers are counters: a request runs for the time that its output
 // tokens take.
 
-// node is one router of the fleet.
-type node struct {
+// testRouter is one router of the fleet.
+type testRouter struct {
 	name string
 	hall string
 	core *Core
 	boot uint64
 	// processor is its share of a CPU core, as announced by the VM list and the router itself.
-	processor float64
-	down      bool
-	paused    bool
-	held      []func() // events that arrived while paused
-	wakeAt    model.Time
-	moves     int // number of restarts at another address
-	bytes     int64
-	sent      int64
-	parts     map[string]int64 // bytes by part of the datagram
+	processor     float64
+	down          bool
+	paused        bool
+	delayedEvents []func() // events that arrived while paused
+	wakeAt        model.Time
+	moves         int // number of restarts at another address
+	bytes         int64
+	sent          int64
+	parts         map[string]int64 // bytes by part of the datagram
 }
 
 // address returns the router's address: its name, with one ' for each move.
-func (n *node) address() string { return n.name + strings.Repeat("'", n.moves) }
+func (n *testRouter) address() string { return n.name + strings.Repeat("'", n.moves) }
 
 // count adds the sizes of a datagram's parts to the router's totals.
-func (n *node) count(d *wire.Datagram) {
+func (n *testRouter) count(d *wire.Datagram) {
 	if n.parts == nil {
 		n.parts = map[string]int64{}
 	}
@@ -77,7 +77,7 @@
 	class    model.Class
 	input    float64
 	output   float64
-	node     *node
+	node     *testRouter
 	arrived  model.Time
 	started  model.Time
 	backend  model.BackendID
@@ -102,16 +102,16 @@
 	time    eventqueue.Queue
 	random  *rand.Rand
 	config  *Config
-	nodes   []*node
-	byName  map[string]*node
+	routers []*testRouter
+	byName  map[string]*testRouter
 	engines map[model.BackendID]*engine
 	jobs    map[RequestID]*job
 	nextID  RequestID
 	delay   time.Duration // minimum one-way delay; a random part of up to as much is added
 	loss    float64
-	cut     func(a, b *node) bool
+	cut     func(a, b *testRouter) bool
 	// storeUnreachable reports whether a router can't reach the store; nil if all can.
-	storeUnreachable func(*node) bool
+	storeUnreachable func(*testRouter) bool
 	contacts         int     // number of ContactStore calls
 	rate             float64 // tokens a second of one stream
 	steps            int64
@@ -122,9 +122,9 @@
 	// dispatched is called with each request that is sent to a backend server.
 	dispatched func(*job)
 	// onOverdue is called with each action LoadsOverdue of a router.
-	onOverdue func(*node, LoadsOverdue)
-	// tamper may change or drop a datagram in transit.
-	tamper func(*wire.Datagram) *wire.Datagram
+	onOverdue func(*testRouter, LoadsOverdue)
+	// modify may change or drop a datagram in transit.
+	modify func(*wire.Datagram) *wire.Datagram
 }
 
 const (
@@ -137,7 +137,7 @@
 	f := &fleet{
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		config:  config,
-		byName:  map[string]*node{},
+		byName:  map[string]*testRouter{},
 		engines: map[model.BackendID]*engine{},
 		jobs:    map[RequestID]*job{},
 		delay:   500 * time.Microsecond,
@@ -148,11 +148,11 @@
 		f.engines[id] = &engine{}
 	}
 	for i, hall := range halls {
-		n := &node{name: fmt.Sprintf("router-%d", i+1), hall: hall}
-		f.nodes = append(f.nodes, n)
+		n := &testRouter{name: fmt.Sprintf("router-%d", i+1), hall: hall}
+		f.routers = append(f.routers, n)
 		f.byName[n.name] = n
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		f.start(n)
 	}
 	f.after(loadInterval, f.reportLoad)
@@ -169,7 +169,7 @@
 }
 
 // start starts a router without any state.
-func (f *fleet) start(n *node) {
+func (f *fleet) start(n *testRouter) {
 	n.boot = f.random.Uint64() | 1
 	n.down = false
 	n.wakeAt = 0
@@ -177,14 +177,14 @@
 	n.core = New(f.time.Now(), self, f.random.Uint64())
 	f.step(n, Configure{Config: f.config})
 	var listed []member.Listed
-	for _, o := range f.nodes {
+	for _, o := range f.routers {
 		listed = append(listed, member.Listed{Name: o.name, Address: o.address(), DataHall: o.hall, Processor: o.processor})
 	}
 	f.step(n, Routers{Listed: listed})
 }
 
 // kill ends a router and its requests.
-func (f *fleet) kill(n *node) {
+func (f *fleet) kill(n *testRouter) {
 	n.down = true
 	for _, id := range sortedKeys(f.jobs) {
 		if j := f.jobs[id]; j.node == n {
@@ -194,12 +194,12 @@
 	}
 }
 
-func (f *fleet) step(n *node, e Event) {
+func (f *fleet) step(n *testRouter, e Event) {
 	if n.down {
 		return
 	}
 	if n.paused {
-		n.held = append(n.held, func() { f.step(n, e) })
+		n.delayedEvents = append(n.delayedEvents, func() { f.step(n, e) })
 		return
 	}
 	f.steps++
@@ -209,16 +209,16 @@
 	f.schedule(n)
 }
 
-func (f *fleet) resume(n *node) {
+func (f *fleet) resume(n *testRouter) {
 	n.paused = false
-	held := n.held
-	n.held = nil
+	held := n.delayedEvents
+	n.delayedEvents = nil
 	for _, do := range held {
 		do()
 	}
 }
 
-func (f *fleet) schedule(n *node) {
+func (f *fleet) schedule(n *testRouter) {
 	wake := max(n.core.Wake(), f.time.Now()+minWake)
 	if n.wakeAt > f.time.Now() && n.wakeAt <= wake {
 		return
@@ -233,7 +233,7 @@
 	})
 }
 
-func (f *fleet) act(n *node, a Action) {
+func (f *fleet) act(n *testRouter, a Action) {
 	switch a := a.(type) {
 	case Send:
 		f.send(n, a)
@@ -269,14 +269,14 @@
 // wireOverhead is the number of bytes that IP, UDP and the authentication add to a datagram.
 const wireOverhead = 28 + 16
 
-func (f *fleet) send(n *node, a Send) {
+func (f *fleet) send(n *testRouter, a Send) {
 	to := f.byName[a.To]
 	n.sent++
 	n.bytes += int64(proto.Size(a.Datagram) + wireOverhead)
 	n.count(a.Datagram)
 	d := proto.Clone(a.Datagram).(*wire.Datagram)
-	if f.tamper != nil {
-		d = f.tamper(d)
+	if f.modify != nil {
+		d = f.modify(d)
 	}
 	if d == nil || to == nil || a.Address != to.address() || f.cut != nil && f.cut(n, to) || f.random.Float64() < f.loss {
 		return
@@ -290,7 +290,7 @@
 }
 
 // submit sends a request to a router.
-func (f *fleet) submit(n *node, account model.AccountID, pool model.PoolID, class model.Class, input, output float64, wait time.Duration) *job {
+func (f *fleet) submit(n *testRouter, account model.AccountID, pool model.PoolID, class model.Class, input, output float64, wait time.Duration) *job {
 	f.nextID++
 	j := &job{
 		id: f.nextID, account: account, pool: pool, class: class,
@@ -369,7 +369,7 @@
 		}
 	}
 	f.after(loadInterval/2, func() {
-		for _, n := range f.nodes {
+		for _, n := range f.routers {
 			for _, id := range n.core.watched {
 				f.step(n, loads[id])
 			}
--- a/core/fuzz_test.go
+++ b/core/fuzz_test.go
@@ -31,7 +31,7 @@
 			return
 		}
 		fl := newFleet(1, smallConfig(), []string{"a", "b"})
-		n := fl.nodes[0]
+		n := fl.routers[0]
 		fl.submit(n, model.Account("account-01"), model.Pool(assistant), model.Batch, 1, 10, time.Hour)
 		d.From, d.To = "router-2", n.name
 		fl.step(n, Receive{Datagram: d})
--- a/core/grant.go
+++ b/core/grant.go
@@ -74,7 +74,7 @@
 		key, ok := c.pick(pool)
 		return ok && c.grant(b, key)
 	}
-	b := c.mostFree(pool, interactiveShare)
+	b := c.mostFree(pool, overcommitDivisor)
 	if b == nil {
 		return false
 	}
@@ -130,7 +130,7 @@
 }
 
 func (c *Core) sendGrant(to string, g pendingGrant) {
-	d := c.to(to)
+	d := c.datagramTo(to)
 	d.Grants = append(d.Grants, &wire.Grant{
 		Sequence: g.sequence, Backend: uint32(g.backend), Account: uint32(g.key.Account), Batch: g.class == model.Batch,
 	})
--- a/core/incarnation_test.go
+++ b/core/incarnation_test.go
@@ -31,7 +31,7 @@
 // has been restarted under the same name.
 func TestRestartedBackendServerHasNoCachedPrompts(t *testing.T) {
 	is := is.New(t)
-	config := todaysConfig(promptaffinity.Policy)
+	config := nineRouterConfig(promptaffinity.Policy)
 	only := sortedKeys(config.Backends)[0]
 	one := *config
 	one.Backends = map[model.BackendID]Backend{only: config.Backends[only]}
@@ -69,14 +69,14 @@
 func TestLateReportsDontCountForNextIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 60_000)
-	outdated := f.nodes[3]
+	outdated := f.routers[3]
 	before := f.sendOne(outdated)
 	name := f.config.Backends[before].Name
 	f.runUntil(f.time.Now() + time.Second)
 	is.Equal(f.routersWithLoad(before), 9)
 	next := restarted(f.config, name, 0, 50)
 	after := model.Incarnation{Name: name, Born: 50}.Backend()
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		if n != outdated {
 			f.step(n, Configure{Config: next})
 		}
@@ -95,12 +95,12 @@
 
 func TestStatusShowsIncarnation(t *testing.T) {
 	is := is.New(t)
-	config := todaysConfig(fleetfair.Policy)
+	config := nineRouterConfig(fleetfair.Policy)
 	name := config.Backends[sortedKeys(config.Backends)[0]].Name
-	f := newFleet(1, restarted(config, name, 0, 50), todaysHalls)
+	f := newFleet(1, restarted(config, name, 0, 50), nineRouterHalls)
 	f.runUntil(3 * time.Second)
 	born := map[string]uint64{}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		out := &wire.StatusResponse{}
 		n.core.View(out)
 		for _, b := range out.Backends {
--- a/core/ingress.go
+++ b/core/ingress.go
@@ -75,7 +75,7 @@
 	key := model.Key{Pool: e.Pool, Account: e.Account}
 	q := c.queueOf(key)
 	if reason := c.admission(key, q); reason != "" {
-		c.do(Refuse{ID: e.ID, Reason: reason, RetryAfter: c.retryAfter(q)})
+		c.emit(Refuse{ID: e.ID, Reason: reason, RetryAfter: c.retryAfter(q)})
 		return
 	}
 	r := &request{
@@ -85,7 +85,7 @@
 	c.requests[r.id] = r
 	heap.Push(&c.deadlines, r)
 	q.waiting[r.class] = append(q.waiting[r.class], r)
-	c.demandGrew(key, q)
+	c.demandIncreased(key, q)
 }
 
 func (c *Core) queueOf(key model.Key) *queue {
@@ -136,11 +136,11 @@
 	if r.heapIndex >= 0 {
 		heap.Remove(&c.deadlines, r.heapIndex)
 	}
-	c.demandShrank(r.key, q)
+	c.demandDecreased(r.key, q)
 }
 
 func (c *Core) abandon(id RequestID) {
-	delete(c.suspicions.asking, id)
+	delete(c.suspicions.pendingTries, id)
 	if c.prompt.Has(id) {
 		c.prompt.Finish(c.now, id, prompt.Disconnected, 0)
 		return
@@ -159,13 +159,13 @@
 		c.removeWaiting(r)
 	}
 	delete(c.requests, r.id)
-	c.do(Refuse{ID: r.id, Reason: reason, RetryAfter: c.retryAfter(c.queues[r.key])})
+	c.emit(Refuse{ID: r.id, Reason: reason, RetryAfter: c.retryAfter(c.queues[r.key])})
 }
 
 // expire refuses the requests whose deadline has passed.
 func (c *Core) expire() {
 	for len(c.deadlines) > 0 && c.deadlines[0].deadline <= c.now {
-		c.refuse(c.deadlines[0], WaitedLong)
+		c.refuse(c.deadlines[0], WaitExceeded)
 	}
 }
 
@@ -176,7 +176,7 @@
 		_, account := c.config.Accounts[r.key.Account]
 		_, pool := c.config.Pools[r.key.Pool]
 		if !r.running && !(account && pool) {
-			c.refuse(r, Withdrawn)
+			c.refuse(r, AccountWithdrawn)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	q.recordDispatch(c.now)
 	r.expected = c.lengths(r).Remaining(0)
 	c.charge(r, 0)
-	c.do(Dispatch{ID: r.id, Backend: backend, Waited: c.now - r.arrived})
+	c.emit(Dispatch{ID: r.id, Backend: backend, Waited: c.now - r.arrived})
 	return true
 }
 
@@ -241,7 +241,7 @@
 		delete(c.running, r.backend)
 	}
 	c.slotFreed(r.backend)
-	c.noteBusy(r.key, q)
+	c.recordBusy(r.key, q)
 	if e.Ending == NotSent {
 		c.requeue(r, q)
 		return
@@ -253,7 +253,7 @@
 	}
 	if e.Ending == Done {
 		c.lengths(r).Observe(e.Output)
-		delete(c.refused, r.backend)
+		delete(c.excluded, r.backend)
 	}
 	delete(c.requests, r.id)
 }
@@ -265,46 +265,46 @@
 	c.excludeBackend(r.backend)
 	if r.attempts >= maxAttempts {
 		delete(c.requests, r.id)
-		c.do(Refuse{ID: r.id, Reason: Unreachable, RetryAfter: c.retryAfter(q)})
+		c.emit(Refuse{ID: r.id, Reason: Unreachable, RetryAfter: c.retryAfter(q)})
 		return
 	}
 	heap.Push(&c.deadlines, r)
 	q.waiting[r.class] = slices.Insert(q.waiting[r.class], 0, r)
-	c.demandGrew(r.key, q)
+	c.demandIncreased(r.key, q)
 }
 
 func (c *Core) excludeBackend(id model.BackendID) {
-	f := c.refused[id]
+	f := c.excluded[id]
 	if f == nil {
 		f = &exclusion{pause: exclusionPause / 2}
-		c.refused[id] = f
+		c.excluded[id] = f
 	}
 	f.pause = min(2*f.pause, maxExclusionPause)
 	f.until = c.now + f.pause
 }
 
-// refuses reports whether this router currently sends no new requests to a backend server.
-func (c *Core) refuses(id model.BackendID) bool {
+// excludes reports whether this router currently sends no new requests to a backend server.
+func (c *Core) excludes(id model.BackendID) bool {
 	if b := c.config.Backends[id]; b.Leaving || b.Evacuated {
 		return true
 	}
 	if !c.notices.Accepts(c.now, id) {
 		return true
 	}
-	f := c.refused[id]
+	f := c.excluded[id]
 	return f != nil && (f.leaving || c.now < f.until)
 }
 
 // setLeaving sets the backend servers that get no new requests according to the VM list.
 func (c *Core) setLeaving(ids []model.BackendID) {
-	for _, f := range c.refused {
+	for _, f := range c.excluded {
 		f.leaving = false
 	}
 	for _, id := range ids {
-		f := c.refused[id]
+		f := c.excluded[id]
 		if f == nil {
 			f = &exclusion{pause: exclusionPause}
-			c.refused[id] = f
+			c.excluded[id] = f
 		}
 		f.leaving = true
 	}
--- a/core/loads.go
+++ b/core/loads.go
@@ -40,7 +40,7 @@
 	names         map[uint32]string // of routers, by the hash that identifies them in messages
 
 	plan           relay.Plan
-	planned        bool       // the plan reflects the current members
+	planCurrent    bool       // the plan reflects the current members
 	plannedAt      model.Time // when the plan was made
 	link           relayLink
 	toAll          loadQueue             // for the other relays and the routers served here
@@ -82,7 +82,7 @@
 // nextPlan returns when the plan is to be made again. Membership changes come in bursts, so the plan is made at most
 // once in loadReportInterval.
 func (l *loadExchange) nextPlan() model.Time {
-	if l.planned {
+	if l.planCurrent {
 		return never
 	}
 	return l.plannedAt + loadReportInterval
@@ -135,7 +135,7 @@
 	if c.now < l.nextPlan() {
 		return
 	}
-	l.planned = true
+	l.planCurrent = true
 	l.plannedAt = c.now
 	self := c.members.Self()
 	fleet := []relay.Router{{Name: self.Name, DataHall: self.DataHall, Processor: float32(self.Processor)}}
@@ -251,7 +251,7 @@
 
 // appendLoads adds loads to the datagram for one router without charging the budget.
 func (c *Core) appendLoads(name string, loads []*wire.Loads, scope wire.PassOn) {
-	d := c.to(name)
+	d := c.datagramTo(name)
 	d.Loads = slices.Concat(d.Loads, loads)
 	d.LoadsTo = max(d.LoadsTo, scope)
 }
@@ -268,8 +268,8 @@
 	return c.members.Get(c.loads.names[router])
 }
 
-// takeLoads processes the load messages that another router has sent or forwarded.
-func (c *Core) takeLoads(d *wire.Datagram) {
+// receiveLoads processes the load messages that another router has sent or forwarded.
+func (c *Core) receiveLoads(d *wire.Datagram) {
 	self := c.members.Self()
 	own, process := model.HashName(self.Name), uint32(self.Boot)
 	if d.LoadsTo == wire.PassOn_PASS_ON_ALL {
@@ -283,7 +283,7 @@
 		c.loads.link.lastReceived = c.now
 	}
 	for _, in := range d.Loads {
-		c.takeSuspicions(in.Suspicions)
+		c.mergeSuspicions(in.Suspicions)
 		if in.Router == own && isEmpty(in) && d.From != c.loads.link.relay {
 			c.handleReportRequest(d.From)
 			continue
@@ -324,7 +324,7 @@
 	}
 	delete(c.overdue.dropped, in.Router)
 	c.applySenders(from.Name, in)
-	c.askDead(from.Name)
+	c.probeDead(from.Name)
 	return true
 }
 
--- a/core/loads_bench_test.go
+++ b/core/loads_bench_test.go
@@ -38,7 +38,7 @@
 	f := loadedFleet(routers, allowed)
 	bytes := map[string]float64{}
 	messages := 0.0
-	f.tamper = func(d *wire.Datagram) *wire.Datagram {
+	f.modify = func(d *wire.Datagram) *wire.Datagram {
 		if len(d.Loads) == 0 {
 			return d
 		}
@@ -55,7 +55,7 @@
 	names := accountNames(10)
 	for i := range seconds * routers * perSecond {
 		f.runUntil(begin + time.Duration(i)*every)
-		n := f.nodes[i%routers]
+		n := f.routers[i%routers]
 		f.submitPrompt(n, model.Account(names[i%len(names)]), 1000, 20)
 		age += n.core.prompt.MeanReportAge().Seconds() * 1000
 		samples++
@@ -88,7 +88,7 @@
 	const seconds, samples = 3, 60
 	f := loadedFleet(routers, allowed)
 	before, sent := map[string]int64{}, int64(0)
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		before[n.name] = n.bytes
 		sent -= n.sent
 	}
@@ -98,14 +98,14 @@
 	submitted := 0
 	for sample := range samples {
 		for ; submitted < (sample+1)*seconds*routers*perSecond/samples; submitted++ {
-			f.submitPrompt(f.nodes[submitted%routers], model.Account(names[submitted%len(names)]), 1000, 20)
+			f.submitPrompt(f.routers[submitted%routers], model.Account(names[submitted%len(names)]), 1000, 20)
 		}
 		f.runUntil(begin + time.Duration(sample+1)*seconds*time.Second/samples)
 		ages = append(ages, f.oldestReports()...)
 	}
 	slices.Sort(ages)
 	out := reportCosts{age: ages[len(ages)/2].Seconds() * 1000, p99: ages[len(ages)*99/100].Seconds() * 1000}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		sent += n.sent
 		bytes := float64(n.bytes-before[n.name]) / seconds
 		out.mean += bytes / float64(routers)
--- a/core/loads_test.go
+++ b/core/loads_test.go
@@ -22,8 +22,8 @@
 	for i := range routers {
 		halls = append(halls, fmt.Sprintf("hall-%d", i%3))
 	}
-	f := newFleet(1, todaysConfig(promptaffinity.Policy), halls)
-	for _, n := range f.nodes {
+	f := newFleet(1, nineRouterConfig(promptaffinity.Policy), halls)
+	for _, n := range f.routers {
 		n.core.LimitLoads(bytesPerSecond)
 	}
 	f.runUntil(10 * time.Second)
@@ -33,7 +33,7 @@
 // routersWithLoad returns the number of routers at which a request is recorded as running at a backend server.
 func (f *fleet) routersWithLoad(id model.BackendID) int {
 	out := 0
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		if n.core.prompt.Running(id) > 0 {
 			out++
 		}
@@ -42,7 +42,7 @@
 }
 
 // sendOne makes a router send a request, and returns the backend server that it was sent to.
-func (f *fleet) sendOne(n *node) model.BackendID {
+func (f *fleet) sendOne(n *testRouter) model.BackendID {
 	var to model.BackendID
 	f.dispatched = func(j *job) { to = j.backend }
 	f.submitPrompt(n, model.Account(accountNames(1)[0]), 1000, 1000)
@@ -55,16 +55,16 @@
 	is := is.New(t)
 	f := loadedFleet(59, 60_000)
 	datagrams, first := 0, 0
-	f.tamper = func(d *wire.Datagram) *wire.Datagram {
+	f.modify = func(d *wire.Datagram) *wire.Datagram {
 		if slices.ContainsFunc(d.Loads, func(l *wire.Loads) bool { return len(l.Backends) > 0 }) {
 			datagrams++
-			if d.From == f.nodes[20].name {
+			if d.From == f.routers[20].name {
 				first++
 			}
 		}
 		return d
 	}
-	to := f.sendOne(f.nodes[20])
+	to := f.sendOne(f.routers[20])
 	f.runUntil(f.time.Now() + 2*loadReportInterval + 20*time.Millisecond)
 	is.Equal(f.routersWithLoad(to), 59)
 	is.Equal(first, 1)
@@ -78,22 +78,22 @@
 	is := is.New(t)
 	f := loadedFleet(59, 60_000)
 	account := model.Account(accountNames(1)[0])
-	f.sendOne(f.nodes[20])
+	f.sendOne(f.routers[20])
 	f.runUntil(f.time.Now() + time.Second)
-	for _, m := range f.nodes[20].core.members.Running()[:3] {
-		if m.Name != f.nodes[20].name {
+	for _, m := range f.routers[20].core.members.Running()[:3] {
+		if m.Name != f.routers[20].name {
 			f.kill(f.byName[m.Name])
 		}
 	}
-	before := f.nodes[20].core.prompt.Usage(account).Requested
+	before := f.routers[20].core.prompt.Usage(account).Requested
 	for range 20 {
-		f.sendOne(f.nodes[20])
+		f.sendOne(f.routers[20])
 	}
-	asked := f.nodes[20].core.prompt.Usage(account).Requested
+	asked := f.routers[20].core.prompt.Usage(account).Requested
 	is.True(asked > before)
 	f.runUntil(f.time.Now() + 2*loadReportInterval + 20*time.Millisecond)
 	current := 0
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		if !n.down && n.core.prompt.Usage(account).Requested > 0.9*asked {
 			current++
 		}
@@ -108,12 +108,12 @@
 	is := is.New(t)
 	f := loadedFleet(9, 60_000)
 	account := model.Account(accountNames(1)[0])
-	refused := TurnedAway{Requests: []Unread{{Account: account, Pool: model.Pool(assistant), Prompt: model.Prompt{Tokens: 1000, Hint: 100}}}}
+	refused := RefusedUnread{Requests: []UnreadRequest{{Account: account, Pool: model.Pool(assistant), Prompt: model.Prompt{Tokens: 1000, Hint: 100}}}}
 	for range 50 {
-		f.step(f.nodes[3], refused)
+		f.step(f.routers[3], refused)
 	}
 	f.runUntil(f.time.Now() + 2*loadReportInterval + 20*time.Millisecond)
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		is.Equal(n.core.prompt.Usage(account), prompt.Usage{Requested: 50 * 1200})
 		is.True(n.core.prompt.Idle())
 	}
@@ -123,14 +123,14 @@
 func TestLostLoadReportIsRepeated(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 60_000)
-	f.tamper = func(d *wire.Datagram) *wire.Datagram {
+	f.modify = func(d *wire.Datagram) *wire.Datagram {
 		d.Loads = nil
 		return d
 	}
-	to := f.sendOne(f.nodes[4])
+	to := f.sendOne(f.routers[4])
 	f.runUntil(f.time.Now() + 300*time.Millisecond)
 	is.Equal(f.routersWithLoad(to), 1)
-	f.tamper = nil
+	f.modify = nil
 	f.runUntil(f.time.Now() + loadReportRepeat)
 	is.Equal(f.routersWithLoad(to), 9)
 }
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	f := loadedFleet(40, allowed)
 	received := map[string]float64{}
-	f.tamper = func(d *wire.Datagram) *wire.Datagram {
+	f.modify = func(d *wire.Datagram) *wire.Datagram {
 		if len(d.Loads) > 0 && f.byName[d.To].core.loads.link.relay == d.From {
 			received[d.To] += datagramOverhead + float64(sizeOf(d.Loads))
 		}
@@ -152,7 +152,7 @@
 	begin := f.time.Now()
 	for i := range seconds * 200 {
 		f.runUntil(begin + time.Duration(i)*5*time.Millisecond)
-		f.submitPrompt(f.nodes[i%len(f.nodes)], model.Account(accountNames(1)[0]), 1000, 20)
+		f.submitPrompt(f.routers[i%len(f.routers)], model.Account(accountNames(1)[0]), 1000, 20)
 	}
 	is.Equal(len(received), 40-6) // all but the relays
 	for _, bytes := range received {
@@ -166,7 +166,7 @@
 func TestDeadRelayIsReplacedWithinFewExchanges(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(59, 60_000)
-	served := f.nodes[20]
+	served := f.routers[20]
 	f.sendOne(served)
 	f.runUntil(f.time.Now() + time.Second)
 	dead := f.byName[served.core.loads.link.relay]
@@ -175,7 +175,7 @@
 	f.runUntil(f.time.Now() + confirmTimeout + 2*loadReportInterval)
 	is.Equal(f.routersWithLoad(to), 59)
 	is.True(served.core.loads.link.relay != dead.name)
-	other := f.sendOne(f.nodes[40])
+	other := f.sendOne(f.routers[40])
 	f.runUntil(f.time.Now() + 3*loadReportInterval)
 	is.True(served.core.prompt.Running(other) > 0)
 }
@@ -185,11 +185,11 @@
 func TestIdleRouterDetectsDeadRelay(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(59, 60_000)
-	served := f.nodes[20]
+	served := f.routers[20]
 	dead := f.byName[served.core.loads.link.relay]
 	f.kill(dead)
 	f.runUntil(f.time.Now() + relayIdleTimeout + confirmTimeout + loadReportInterval)
-	other := f.sendOne(f.nodes[40])
+	other := f.sendOne(f.routers[40])
 	f.runUntil(f.time.Now() + 3*loadReportInterval)
 	is.True(served.core.prompt.Running(other) > 0)
 }
@@ -205,7 +205,7 @@
 		for range rapid.IntRange(1, 6).Draw(t, "faults") {
 			f.injectDrawnFault(t)
 			for range 20 {
-				f.sendLong(f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "sender")])
+				f.sendLong(f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "sender")])
 				f.runUntil(f.time.Now() + 25*time.Millisecond)
 			}
 			f.runUntil(f.time.Now() + time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause"))*time.Millisecond)
@@ -213,7 +213,7 @@
 		f.runUntil(f.time.Now() + 3*time.Second)
 		f.loss = 0
 		f.runUntil(f.time.Now() + 30*time.Second)
-		for _, n := range f.nodes {
+		for _, n := range f.routers {
 			for id, e := range f.engines {
 				if got := n.core.prompt.Running(id); got != e.running {
 					t.Fatalf("%s records %d requests running at %d, want %d", n.name, got, id, e.running)
@@ -225,13 +225,13 @@
 
 // injectDrawnFault injects a random fault at a random router.
 func (f *fleet) injectDrawnFault(t *rapid.T) {
-	n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "router")]
+	n := f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "router")]
 	duration := time.Duration(rapid.IntRange(50, 2500).Draw(t, "ms")) * time.Millisecond
 	f.injectFault(n, rapid.SampledFrom([]string{"freeze", "restart", "cut"}).Draw(t, "fault"), duration)
 }
 
 // injectFault pauses or restarts a router, or cuts off its data hall, for some time.
-func (f *fleet) injectFault(n *node, fault string, duration time.Duration) {
+func (f *fleet) injectFault(n *testRouter, fault string, duration time.Duration) {
 	if n.down || n.paused {
 		return
 	}
@@ -243,13 +243,13 @@
 		f.kill(n)
 		f.after(duration, func() { f.start(n) })
 	case "cut":
-		f.cut = func(a, b *node) bool { return (a.hall == n.hall) != (b.hall == n.hall) }
+		f.cut = func(a, b *testRouter) bool { return (a.hall == n.hall) != (b.hall == n.hall) }
 		f.after(duration, func() { f.cut = nil })
 	}
 }
 
 // sendLong makes a router send a request that runs until the end of the test.
-func (f *fleet) sendLong(n *node) {
+func (f *fleet) sendLong(n *testRouter) {
 	if !n.down && !n.paused {
 		f.submitPrompt(n, model.Account(accountNames(1)[0]), 1000, 100_000)
 	}
@@ -262,7 +262,7 @@
 	f := loadedFleet(59, 100_000)
 	f.delay = 70 * time.Millisecond // to twice as much, each way
 	changes := 0
-	served := f.nodes[20]
+	served := f.routers[20]
 	relay := served.core.loads.link.relay
 	for range 100 {
 		f.sendOne(served)
@@ -295,11 +295,11 @@
 	const requests = 3000
 	for i := range requests {
 		f.runUntil(begin + time.Duration(i)*2*time.Millisecond)
-		f.submitPrompt(f.nodes[i%len(f.nodes)], account, tokens, output)
+		f.submitPrompt(f.routers[i%len(f.routers)], account, tokens, output)
 	}
 	f.runUntil(f.time.Now() + 2*time.Second)
 	least := math.Inf(1)
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		least = min(least, n.core.prompt.TotalStarted(account))
 	}
 	t.Logf("%.0f tokens begun, %.0f recorded at the worst router", begun, least)
--- a/core/notice_test.go
+++ b/core/notice_test.go
@@ -15,7 +15,7 @@
 type sent struct{ by, all [2]int }
 
 // countSent counts the requests sent from now on.
-func (f *fleet) countSent(server model.BackendID, by *node) *sent {
+func (f *fleet) countSent(server model.BackendID, by *testRouter) *sent {
 	out := &sent{}
 	f.dispatched = func(j *job) {
 		to := 1
@@ -31,8 +31,8 @@
 }
 
 // routerOwning returns a router that owns a backend server, or one that doesn't.
-func (f *fleet) routerOwning(owns bool, server model.BackendID) *node {
-	for _, n := range f.nodes {
+func (f *fleet) routerOwning(owns bool, server model.BackendID) *testRouter {
+	for _, n := range f.routers {
 		if (n.core.backends[server] != nil) == owns {
 			return n
 		}
@@ -55,12 +55,12 @@
 			account := model.Account(accountNames(1)[0])
 			var submitNext func(int)
 			submitNext = func(i int) {
-				f.submit(f.nodes[i%len(f.nodes)], account, model.Pool(assistant), model.Interactive, 10, 10, time.Minute)
+				f.submit(f.routers[i%len(f.routers)], account, model.Pool(assistant), model.Interactive, 10, 10, time.Minute)
 				f.after(7*time.Millisecond, func() { submitNext(i + 1) })
 			}
 			submitNext(0)
 			f.runUntil(4 * time.Second)
-			f.step(asked, Noticed{Backend: server, Notice: notice.Notice{Rest: rest}})
+			f.step(asked, NoticeReceived{Backend: server, Notice: notice.Notice{Rest: rest}})
 			resting := f.countSent(server, asked)
 			f.runUntil(f.time.Now() + rest - time.Millisecond)
 			t.Logf("sent to the resting backend server and to others: %+v", *resting)
@@ -84,8 +84,8 @@
 	config.Backends = map[model.BackendID]Backend{server: config.Backends[server]}
 	f := newFleet(12, config, []string{"a"})
 	f.runUntil(time.Second)
-	f.step(f.nodes[0], Noticed{Backend: server, Notice: notice.Notice{Rest: 3 * time.Second}})
-	j := f.submit(f.nodes[0], model.Account(accountNames(1)[0]), model.Pool(assistant), model.Interactive, 10, 10, time.Minute)
+	f.step(f.routers[0], NoticeReceived{Backend: server, Notice: notice.Notice{Rest: 3 * time.Second}})
+	j := f.submit(f.routers[0], model.Account(accountNames(1)[0]), model.Pool(assistant), model.Interactive, 10, 10, time.Minute)
 	f.runUntil(4*time.Second - time.Millisecond)
 	is.True(!j.running)
 	f.runUntil(4*time.Second + 10*time.Millisecond)
--- a/core/overdue.go
+++ b/core/overdue.go
@@ -20,15 +20,15 @@
 // LoadsOverdue reports that load reports of a live router don't arrive, or arrive again. It is informational: no
 // decision depends on it.
 type LoadsOverdue struct {
-	Router   string
-	Again    bool          // reports arrive again
-	Silent   time.Duration // time since the last report or, if there was none, since the router was found alive
-	Sequence uint64        // of its last report, 0 for none
-	Relay    string        // the relay that forwards to this router, "" if this router is a relay itself
-	Relayed  time.Duration // time since that relay last sent anything
-	Dropped  int           // number of its reports that were dropped since
-	Because  string        // why the last of them was dropped
-	Overdue  int           // number of all routers whose reports don't arrive
+	Router       string
+	Resumed      bool          // reports arrive again
+	Silence      time.Duration // time since the last report or, if there was none, since the router was found alive
+	Sequence     uint64        // of its last report, 0 for none
+	Relay        string        // the relay that forwards to this router, "" if this router is a relay itself
+	RelaySilence time.Duration // time since that relay last sent anything
+	Dropped      int           // number of its reports that were dropped since
+	Reason       string        // why the last of them was dropped
+	Overdue      int           // number of all routers whose reports don't arrive
 }
 
 // OverdueCounted reports the number of live routers whose load reports don't arrive.
@@ -68,8 +68,8 @@
 	o.dropped[router] = droppedReports{count: d.count + 1, reason: reason}
 }
 
-// followOverdue checks for live routers whose reports don't arrive, and reports changes.
-func (c *Core) followOverdue() {
+// checkOverdue checks for live routers whose reports don't arrive, and reports changes.
+func (c *Core) checkOverdue() {
 	o := &c.overdue
 	if !c.byPrompt() || c.now < o.lastCheck+overdueCheckInterval {
 		return
@@ -90,10 +90,10 @@
 			break
 		}
 		change.Overdue = len(o.lastReport)
-		c.do(change)
+		c.emit(change)
 	}
 	if before != len(o.lastReport) {
-		c.do(OverdueCounted{Routers: len(o.lastReport)})
+		c.emit(OverdueCounted{Routers: len(o.lastReport)})
 	}
 }
 
@@ -119,12 +119,12 @@
 	change = c.overdueChange(name, last)
 	if is {
 		o.lastReport[name] = at
-		change.Silent = c.now - at
+		change.Silence = c.now - at
 		return change, true
 	}
 	delete(o.lastReport, name)
 	delete(o.dropped, model.HashName(name))
-	change.Again, change.Silent = true, at-since
+	change.Resumed, change.Silence = true, at-since
 	return change, true
 }
 
@@ -132,10 +132,10 @@
 	dropped := c.overdue.dropped[model.HashName(name)]
 	out := LoadsOverdue{
 		Router: name, Sequence: last.Sequence, Relay: c.loads.link.relay,
-		Dropped: dropped.count, Because: dropped.reason,
+		Dropped: dropped.count, Reason: dropped.reason,
 	}
 	if out.Relay != "" {
-		out.Relayed = c.now - c.loads.link.lastReceived
+		out.RelaySilence = c.now - c.loads.link.lastReceived
 	}
 	return out
 }
--- a/core/overdue_test.go
+++ b/core/overdue_test.go
@@ -17,22 +17,22 @@
 func TestOverdueReportsAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 100_000)
-	silenced := f.nodes[3]
+	silenced := f.routers[3]
 	f.sendOne(silenced)
 	f.runUntil(f.time.Now() + 300*time.Millisecond)
-	f.tamper = func(d *wire.Datagram) *wire.Datagram {
+	f.modify = func(d *wire.Datagram) *wire.Datagram {
 		d.Loads = slices.DeleteFunc(d.Loads, func(l *wire.Loads) bool { return l.Router == model.HashName(silenced.name) })
 		return d
 	}
 	reported := map[bool]int{}
-	f.onOverdue = func(_ *node, a LoadsOverdue) {
+	f.onOverdue = func(_ *testRouter, a LoadsOverdue) {
 		if a.Router == silenced.name {
-			reported[a.Again]++
+			reported[a.Resumed]++
 		}
 	}
 	sends := func(seconds int) {
 		for range 20 * seconds {
-			for _, n := range f.nodes {
+			for _, n := range f.routers {
 				f.sendLong(n)
 			}
 			f.runUntil(f.time.Now() + 50*time.Millisecond)
@@ -40,7 +40,7 @@
 	}
 	sends(3)
 	is.Equal(reported, map[bool]int{false: 8})
-	f.tamper = nil
+	f.modify = nil
 	sends(1)
 	is.Equal(reported, map[bool]int{false: 8, true: 8})
 }
@@ -51,8 +51,8 @@
 	is := is.New(t)
 	f := loadedFleet(9, 100_000)
 	reported := 0
-	f.onOverdue = func(_ *node, _ LoadsOverdue) { reported++ }
-	n, name := f.nodes[0], f.nodes[3].name
+	f.onOverdue = func(_ *testRouter, _ LoadsOverdue) { reported++ }
+	n, name := f.routers[0], f.routers[3].name
 	f.runUntil(f.time.Now() + 2*overdueCheckInterval)
 	n.core.memberChanged(member.Change{Name: name, Status: wire.Status_STATUS_DEAD})
 	n.core.overdue.lastCheck = 0
--- a/core/owner.go
+++ b/core/owner.go
@@ -77,8 +77,8 @@
 	return slices.ContainsFunc(d.byRouter, func(o *routerDemand) bool { return o.count[class] > 0 })
 }
 
-// offerSelf sets this router's own demand from its queue.
-func (c *Core) offerSelf(key model.Key, q *queue) {
+// setOwnDemand sets this router's own demand from its queue.
+func (c *Core) setOwnDemand(key model.Key, q *queue) {
 	o := c.demandOf(key).forRouter(c.members.Self().Name)
 	for class := range q.waiting {
 		o.count[class] = len(q.waiting[class])
@@ -93,7 +93,7 @@
 	}
 }
 
-func (c *Core) backendDirty(id model.BackendID) {
+func (c *Core) markBackendDirty(id model.BackendID) {
 	if b := c.backends[id]; b != nil {
 		c.dirty[b.pool] = true
 	}
--- a/core/placement.go
+++ b/core/placement.go
@@ -51,7 +51,7 @@
 		c.placement.reportTo[pool] = c.nearestOwners(owners)
 	}
 	c.updateOwnership(live)
-	c.allReportsDue()
+	c.scheduleAllReports()
 }
 
 // updateTree sets the routers of the ledger's tree. The tree is empty under a policy that doesn't order by the fleet's
@@ -136,7 +136,7 @@
 	}
 	c.rebuildOwner()
 	if !slices.Equal(owned, c.watched) {
-		c.do(Watch{Backends: owned})
+		c.emit(Watch{Backends: owned})
 		c.watched = owned
 	}
 }
--- a/core/presence.go
+++ b/core/presence.go
@@ -39,7 +39,7 @@
 
 // presence is the state of reporting which routers are alive.
 type presence struct {
-	wanted        bool                  // the policy in force uses it
+	enabled       bool                  // the policy in force uses it
 	lastHeartbeat model.Time            // when this router last sent a heartbeat to its relay
 	lastReceived  map[string]model.Time // when each router last sent to this one as its relay
 	sentDigest    uint32                // of the senders last reported
@@ -60,7 +60,7 @@
 // nextPresence returns when this router's next heartbeat is due.
 func (l *loadExchange) nextPresence() model.Time {
 	switch {
-	case !l.presence.wanted || len(l.plan.Relays) == 0:
+	case !l.presence.enabled || len(l.plan.Relays) == 0:
 		return never
 	case l.link.relay == "":
 		return l.lastSent + l.relayHeartbeatInterval()
@@ -92,14 +92,14 @@
 	}
 	l.presence.lastHeartbeat = c.now
 	for _, name := range c.reportTargets() {
-		c.to(name).LoadsTo = wire.PassOn_PASS_ON_ALL
+		c.datagramTo(name).LoadsTo = wire.PassOn_PASS_ON_ALL
 	}
 }
 
 // addSenders adds the senders to this router's own report, if it forwards for others or is a relay.
 func (c *Core) addSenders(own *wire.Loads) {
 	p := &c.loads.presence
-	if !p.wanted {
+	if !p.enabled {
 		return
 	}
 	senders := c.senders(own.Router)
@@ -158,11 +158,11 @@
 func (c *Core) recordUnchanged(name string) {
 	m := c.members.Get(name)
 	switch {
-	case m == nil || !c.loads.presence.wanted:
+	case m == nil || !c.loads.presence.enabled:
 	case m.Reachable():
 		c.prompt.ConfirmUnchanged(c.now, name)
 	default:
-		c.askDead(name)
+		c.probeDead(name)
 	}
 }
 
--- a/core/property_test.go
+++ b/core/property_test.go
@@ -25,9 +25,9 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
-		r.calm(5 * time.Second)
+		r.advance(5 * time.Second)
 		for range 100 {
-			r.calm(500 * time.Millisecond)
+			r.advance(500 * time.Millisecond)
 			if gap := r.meter.sample(); gap > r.gapBound() {
 				t.Fatalf("gap of %.0f tokens, bound %.0f", gap, r.gapBound())
 			}
@@ -40,12 +40,12 @@
 func TestGapIsBoundedAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
-		r.calm(3 * time.Second)
-		r.troubles()
-		r.calm(20 * time.Second)
+		r.advance(3 * time.Second)
+		r.injectFaults()
+		r.advance(20 * time.Second)
 		r.meter = newGapMeter(r.fleet)
 		for range 40 {
-			r.calm(500 * time.Millisecond)
+			r.advance(500 * time.Millisecond)
 			if gap := r.meter.sample(); gap > r.gapBound() {
 				t.Fatalf("gap of %.0f tokens, bound %.0f", gap, r.gapBound())
 			}
@@ -60,12 +60,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
 		r.longest = 60
-		r.calm(5 * time.Second)
+		r.advance(5 * time.Second)
 		r.meter.follow()
 		lasts := time.Duration(rapid.IntRange(15, 30).Draw(t, "lasts")) * time.Second
-		r.trouble("cut", r.fleet.nodes[0], lasts)
+		r.injectFault("cut", r.fleet.routers[0], lasts)
 		during := r.meter.worst
-		r.calm(60 * time.Second)
+		r.advance(60 * time.Second)
 		if gap := r.meter.sample(); gap > r.gapBound() {
 			t.Fatalf("gap of %.0f tokens a minute after a cut that left %.0f, bound %.0f", gap, during, r.gapBound())
 		}
@@ -77,9 +77,9 @@
 	const maxWait = 45 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
-		r.troubles()
+		r.injectFaults()
 		for range 10 {
-			r.calm(6 * time.Second)
+			r.advance(6 * time.Second)
 			for i, id := range r.accounts {
 				since := r.fleet.time.Now() - r.served[id]
 				if r.fleet.waiting(id) > 0 && since > maxWait {
@@ -98,15 +98,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
 		r.shortest = 100
-		r.troubles()
-		r.calm(10 * time.Second)
+		r.injectFaults()
+		r.advance(10 * time.Second)
 		allowed := 10*r.fleet.delay + 20*time.Millisecond
 		if r.fleet.loss > 0 {
 			allowed += successive * grantExpiry
 		}
 		idleSince := r.fleet.time.Now()
 		for range 5000 {
-			r.calm(2 * time.Millisecond)
+			r.advance(2 * time.Millisecond)
 			if r.running() >= smallSlots {
 				idleSince = r.fleet.time.Now()
 			}
@@ -124,15 +124,15 @@
 		r := newRun(t)
 		for range rapid.IntRange(0, 2).Draw(t, "cuts") {
 			lasts := time.Duration(rapid.IntRange(100, 8000).Draw(t, "lasts")) * time.Millisecond
-			r.trouble("cut", r.fleet.nodes[0], lasts)
-			r.calm(8 * time.Second)
+			r.injectFault("cut", r.fleet.routers[0], lasts)
+			r.advance(8 * time.Second)
 		}
 		r.load = false
 		r.drainAll()
 		for i, id := range r.accounts {
 			key := model.Key{Pool: model.Pool(assistant), Account: id}
 			own := 0.0
-			for _, n := range r.fleet.nodes {
+			for _, n := range r.fleet.routers {
 				own += n.core.ledger.LocalService(key).Tokens()
 			}
 			want := r.fleet.service[id] / r.fleet.config.Accounts[id].Weight
@@ -149,11 +149,11 @@
 func TestTwoOwnersStayWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
-		r.calm(2 * time.Second)
+		r.advance(2 * time.Second)
 		owners := 3
 		lasts := time.Duration(rapid.IntRange(1000, 20000).Draw(t, "lasts")) * time.Millisecond
-		r.trouble("cut", r.fleet.nodes[0], lasts)
-		r.calm(5 * time.Second)
+		r.injectFault("cut", r.fleet.routers[0], lasts)
+		r.advance(5 * time.Second)
 		r.load = false
 		r.drainAll()
 		for id, times := range r.ended {
@@ -163,7 +163,7 @@
 		}
 		for id, e := range r.fleet.engines {
 			slots := r.fleet.config.Backends[id].Slots
-			if most := owners * (slots + max(slots/interactiveShare, 1)); e.most > most {
+			if most := owners * (slots + max(slots/overcommitDivisor, 1)); e.most > most {
 				t.Fatalf("a backend server of %d slots ran %d requests", slots, e.most)
 			}
 		}
@@ -175,15 +175,15 @@
 func TestLedgersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
-		r.troubles()
-		r.calm(15 * time.Second)
+		r.injectFaults()
+		r.advance(15 * time.Second)
 		r.load = false
 		r.drainAll()
-		r.calm(10 * time.Second)
+		r.advance(10 * time.Second)
 		for i, id := range r.accounts {
 			key := model.Key{Pool: model.Pool(assistant), Account: id}
-			first := r.fleet.nodes[0].core.ledger.Virtual(key)
-			for _, n := range r.fleet.nodes[1:] {
+			first := r.fleet.routers[0].core.ledger.Virtual(key)
+			for _, n := range r.fleet.routers[1:] {
 				if d := n.core.ledger.Virtual(key) - first; d > 2*model.ServiceScale || d < -2*model.ServiceScale {
 					t.Fatalf("%s differs on account %d by %.0f tokens", n.name, i+1, d.Tokens())
 				}
@@ -196,19 +196,19 @@
 func TestLedgerSurvivesReplacements(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(1, todaysConfig(fleetfair.Policy), todaysHalls)
+	f := newFleet(1, nineRouterConfig(fleetfair.Policy), nineRouterHalls)
 	backlog(f, 1, benchDepth)
 	keepBacklogged(f, 1)
 	f.runUntil(60 * time.Second)
 	id := model.Account(accountNames(1)[0])
 	key := model.Key{Pool: model.Pool(assistant), Account: id}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		before := f.service[id]
 		f.kill(n)
 		f.runUntil(f.time.Now() + 5*time.Second)
 		f.start(n)
 		f.runUntil(f.time.Now() + 8*time.Second)
-		known := f.nodes[0].core.ledger.Virtual(key).Tokens()
+		known := f.routers[0].core.ledger.Virtual(key).Tokens()
 		t.Logf("%s replaced: account has %.0f, ledger %.0f", n.name, f.service[id], known)
 		is.True(known > before-capacityTokens) // except for what the killed router hadn't sent yet
 	}
@@ -221,14 +221,14 @@
 // Routers that start at the same time send less than twice as many datagrams while none has a ledger yet as later.
 func TestStartSendsFewDatagrams(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(1, todaysConfig(fleetfair.Policy), todaysHalls)
+	f := newFleet(1, nineRouterConfig(fleetfair.Policy), nineRouterHalls)
 	f.runUntil(2 * time.Second)
 	first := map[string]int64{}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		first[n.name] = n.sent
 	}
 	f.runUntil(4 * time.Second)
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		later := n.sent - first[n.name]
 		t.Logf("%s sent %d datagrams in two seconds, then %d", n.name, first[n.name], later)
 		is.True(first[n.name] < 2*later)
@@ -240,7 +240,7 @@
 	is := is.New(t)
 	f := newFleet(1, smallConfig(), []string{"a", "b"})
 	f.runUntil(time.Second)
-	n := f.nodes[0]
+	n := f.routers[0]
 	inconsistent := &wire.Datagram{
 		From: "router-2", To: n.name, Boot: 7,
 		Up:     &wire.Up{Columns: []*wire.Column{{Accounts: []uint32{1, 2}, Given: []int64{1}}}},
@@ -256,7 +256,7 @@
 func TestLateLoadReportIsNotForeign(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, smallConfig(), []string{"a"})
-	n := f.nodes[0]
+	n := f.routers[0]
 	f.runUntil(time.Second)
 	account := model.Account(accountNames(1)[0])
 	var jobs []*job
--- a/core/relaylink.go
+++ b/core/relaylink.go
@@ -111,7 +111,7 @@
 		return
 	}
 	l.link.since, l.link.lastReceived = c.now, c.now
-	c.do(RelayChanged{From: before, To: l.link.relay, Unconfirmed: len(l.link.unconfirmed)})
+	c.emit(RelayChanged{From: before, To: l.link.relay, Unconfirmed: len(l.link.unconfirmed)})
 	unconfirmed := l.link.unconfirmed
 	switch {
 	case l.link.relay == "":
@@ -131,6 +131,6 @@
 // isn't among its members.
 func (c *Core) announceSelf(name string) {
 	if name != "" {
-		c.to(name).Rumours = c.members.Rumours(name)
+		c.datagramTo(name).Rumours = c.members.Rumours(name)
 	}
 }
--- a/core/report.go
+++ b/core/report.go
@@ -79,8 +79,8 @@
 	return a
 }
 
-// hint records how many slots of a pool an owner reported it could grant.
-func (c *Core) hint(owner string, pool model.PoolID, slots int) {
+// recordFreeSlots records how many slots of a pool an owner reported it could grant.
+func (c *Core) recordFreeSlots(owner string, pool model.PoolID, slots int) {
 	c.askOf(pool).grantable[owner] = slots
 }
 
@@ -115,9 +115,9 @@
 	l.urgent = l.urgent || delay == 0
 }
 
-// allReportsDue schedules reports to all owners after a change of ownership, except where the report would be empty as
+// scheduleAllReports schedules reports to all owners after a change of ownership, except where the report would be empty as
 // the last one was.
-func (c *Core) allReportsDue() {
+func (c *Core) scheduleAllReports() {
 	for _, owner := range sortedKeys(c.placement.ownedBy) {
 		l := c.owners[owner]
 		if l != nil && l.nonEmpty || len(c.holds(owner)) > 0 || len(c.demandsFor(owner)) > 0 {
@@ -126,10 +126,10 @@
 	}
 }
 
-// demandGrew reports a request that was added to a queue to the owners that may grant it a slot.
-func (c *Core) demandGrew(key model.Key, q *queue) {
-	c.noteBusy(key, q)
-	c.offerSelf(key, q)
+// demandIncreased reports a request that was added to a queue to the owners that may grant it a slot.
+func (c *Core) demandIncreased(key model.Key, q *queue) {
+	c.recordBusy(key, q)
+	c.setOwnDemand(key, q)
 	delay := deferrableDelay
 	if q.length() <= shallowQueue {
 		delay = 0
@@ -177,10 +177,10 @@
 	}
 }
 
-// demandShrank reports a shorter queue to the owners, after deferrableDelay.
-func (c *Core) demandShrank(key model.Key, q *queue) {
-	c.noteBusy(key, q)
-	c.offerSelf(key, q)
+// demandDecreased reports a shorter queue to the owners, after deferrableDelay.
+func (c *Core) demandDecreased(key model.Key, q *queue) {
+	c.recordBusy(key, q)
+	c.setOwnDemand(key, q)
 	for _, owner := range c.placement.reportTo[key.Pool] {
 		if c.asks[key.Pool].includes(c.now, owner) {
 			c.scheduleDemand(owner, deferrableDelay)
@@ -188,8 +188,8 @@
 	}
 }
 
-// noteBusy records in the ledger whether the client account has requests waiting, and how many are running.
-func (c *Core) noteBusy(key model.Key, q *queue) {
+// recordBusy records in the ledger whether the client account has requests waiting, and how many are running.
+func (c *Core) recordBusy(key model.Key, q *queue) {
 	c.trackWaiting(key, q)
 	c.ledger.SetBacklog(c.now, key, q.length() > 0, q.running)
 }
@@ -198,7 +198,7 @@
 func (c *Core) slotFreed(id model.BackendID) {
 	owner := c.placement.owner[id]
 	if owner == c.members.Self().Name {
-		c.backendDirty(id)
+		c.markBackendDirty(id)
 		return
 	}
 	c.scheduleReport(owner, 0)
@@ -291,13 +291,13 @@
 	l.full = false
 	l.nonEmpty = l.nonEmpty && report.HoldsOnly || len(report.Holds) > 0 || len(report.Demands) > 0
 	c.budget.level -= float64(proto.Size(report) + datagramOverhead)
-	c.to(owner).Report = report
+	c.datagramTo(owner).Report = report
 }
 
 func (c *Core) holds(owner string) []*wire.Hold {
 	var out []*wire.Hold
 	for _, id := range c.placement.ownedBy[owner] {
-		refused := c.refuses(id)
+		refused := c.excludes(id)
 		if c.running[id] == 0 && !refused {
 			continue
 		}
@@ -382,7 +382,7 @@
 func (c *Core) useGrant(owner string, g *wire.Grant) bool {
 	id := model.BackendID(g.Backend)
 	b, ok := c.config.Backends[id]
-	if !ok || c.refuses(id) || c.placement.owner[id] != owner {
+	if !ok || c.excludes(id) || c.placement.owner[id] != owner {
 		return false
 	}
 	key := model.Key{Pool: b.Pool, Account: model.AccountID(g.Account)}
--- a/core/reportdelivery_test.go
+++ b/core/reportdelivery_test.go
@@ -17,14 +17,14 @@
 // unequalFleet returns a fleet of 40 routers, one of which in each data hall has a larger share of a processor.
 func unequalFleet() *fleet {
 	f := loadedFleet(40, 100_000)
-	for i, n := range f.nodes {
+	for i, n := range f.routers {
 		n.processor = 0.192
 		if i < 3 {
 			n.processor = 0.8
 		}
 		f.kill(n)
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		f.start(n)
 	}
 	return f
@@ -33,8 +33,8 @@
 // stalePairs returns the pairs of a live router and another one whose last report it received before the given time.
 func (f *fleet) stalePairs(since model.Time) map[[2]string]bool {
 	out := map[[2]string]bool{}
-	for _, n := range f.nodes {
-		for _, o := range f.nodes {
+	for _, n := range f.routers {
+		for _, o := range f.routers {
 			if n != o && !n.down && !o.down && n.core.prompt.LastContact(o.name).At < since {
 				out[[2]string{n.name, o.name}] = true
 			}
@@ -45,7 +45,7 @@
 
 // sendFromAll makes each router send a request.
 func (f *fleet) sendFromAll() {
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		f.sendLong(n)
 	}
 }
@@ -62,11 +62,11 @@
 	f := unequalFleet()
 	f.runUntil(f.time.Now() + time.Second)
 	for i := 10; i < 20; i++ {
-		f.injectFault(f.nodes[i], "freeze", 1500*time.Millisecond)
+		f.injectFault(f.routers[i], "freeze", 1500*time.Millisecond)
 	}
 	f.runUntil(f.time.Now() + 15*time.Second)
-	for _, n := range f.nodes {
-		is.Equal(n.core.Live(), len(f.nodes))
+	for _, n := range f.routers {
+		is.Equal(n.core.Live(), len(f.routers))
 	}
 	before := f.time.Now()
 	f.sendFromAll()
@@ -75,17 +75,17 @@
 }
 
 // nextRelay returns a router that would be a relay of the data hall if some others were missing.
-func (f *fleet) nextRelay(hall string, without []string) *node {
+func (f *fleet) nextRelay(hall string, without []string) *testRouter {
 	var left []relay.Router
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		if !slices.Contains(without, n.name) {
 			left = append(left, relay.Router{Name: n.name, DataHall: n.hall, Processor: float32(n.processor)})
 		}
 	}
-	at := slices.IndexFunc(f.nodes, func(n *node) bool {
+	at := slices.IndexFunc(f.routers, func(n *testRouter) bool {
 		return n.hall == hall && !slices.Contains(without, n.name) && relay.PlanFor(n.name, left).Relay == ""
 	})
-	return f.nodes[at]
+	return f.routers[at]
 }
 
 // TestReportsArriveWhenRelayPlansDiffer guards against missing reports while the views of the members differ: a router
@@ -94,12 +94,12 @@
 	is := is.New(t)
 	f := unequalFleet()
 	f.runUntil(f.time.Now() + 3*time.Second)
-	relays := f.nodes[20].core.loads.plan.Relays[:2] // of its data hall
-	self := f.nextRelay(f.nodes[20].hall, relays)
+	relays := f.routers[20].core.loads.plan.Relays[:2] // of its data hall
+	self := f.nextRelay(f.routers[20].hall, relays)
 	for _, name := range relays {
 		self.core.members.Get(name).Processor = 0.01
 	}
-	self.core.loads.planned = false
+	self.core.loads.planCurrent = false
 	f.runUntil(f.time.Now() + 300*time.Millisecond)
 	f.sendFromAll()
 	f.runUntil(f.time.Now() + 300*time.Millisecond)
@@ -113,9 +113,9 @@
 // oldestReports returns, for each router, the age of the oldest of the last reports received from the others.
 func (f *fleet) oldestReports() []time.Duration {
 	var out []time.Duration
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		age := time.Duration(0)
-		for _, o := range f.nodes {
+		for _, o := range f.routers {
 			if n != o {
 				age = max(age, f.time.Now()-n.core.prompt.LastContact(o.name).At)
 			}
@@ -136,7 +136,7 @@
 	var ages []time.Duration
 	for i := range 500 {
 		f.runUntil(begin + time.Duration(i)*20*time.Millisecond)
-		f.submitPrompt(f.nodes[i%16], model.Account(accountNames(1)[0]), 1000, 20)
+		f.submitPrompt(f.routers[i%16], model.Account(accountNames(1)[0]), 1000, 20)
 		ages = append(ages, f.oldestReports()...)
 	}
 	slices.Sort(ages)
@@ -150,12 +150,12 @@
 func TestLateReportOfEarlierProcessDoesNotBlockLaterOnes(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 100_000)
-	f.sendLong(f.nodes[2])
+	f.sendLong(f.routers[2])
 	f.runUntil(f.time.Now() + 200*time.Millisecond)
-	late := &wire.Loads{Router: model.HashName(f.nodes[2].name), Process: 77, Sequence: 1000}
-	is.True(f.nodes[5].core.applyLoadReport(late))
+	late := &wire.Loads{Router: model.HashName(f.routers[2].name), Process: 77, Sequence: 1000}
+	is.True(f.routers[5].core.applyLoadReport(late))
 	f.runUntil(f.time.Now() + 3*time.Second)
-	is.Equal(f.nodes[5].core.prompt.LastContact(f.nodes[2].name).Process, uint32(f.nodes[2].boot))
+	is.Equal(f.routers[5].core.prompt.LastContact(f.routers[2].name).Process, uint32(f.routers[2].boot))
 }
 
 // recoveryBound is the maximum time, once datagrams arrive again, until each router receives the reports of each other:
@@ -173,7 +173,7 @@
 		f.loss = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss")
 		for range rapid.IntRange(1, 6).Draw(t, "faults") {
 			f.injectDrawnFault(t)
-			f.sendLong(f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(t, "sender")])
+			f.sendLong(f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "sender")])
 			f.runUntil(f.time.Now() + time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause"))*time.Millisecond)
 		}
 		f.runUntil(f.time.Now() + 2500*time.Millisecond) // the longest fault is over
@@ -185,7 +185,7 @@
 			f.runUntil(f.time.Now() + deliveryBound)
 			for pair := range f.stalePairs(f.time.Now() - 500*time.Millisecond) {
 				if before[pair] {
-					t.Fatalf("%s hasn't received a report of %s for half a second, of %d routers", pair[0], pair[1], len(f.nodes))
+					t.Fatalf("%s hasn't received a report of %s for half a second, of %d routers", pair[0], pair[1], len(f.routers))
 				}
 			}
 		}
@@ -197,7 +197,7 @@
 func TestReportsOfIdleLeavingRouterArrive(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(24, 100_000)
-	f.step(f.nodes[8], Drain{})
+	f.step(f.routers[8], Drain{})
 	f.runUntil(f.time.Now() + 2*time.Second)
 	is.Equal(len(f.stalePairs(f.time.Now()-500*time.Millisecond)), 0)
 }
--- a/core/reportrequests.go
+++ b/core/reportrequests.go
@@ -40,11 +40,11 @@
 	return reportRequests{sent: map[string]model.Time{}, requesters: map[string]model.Time{}}
 }
 
-// askUnheard requests the reports of routers whose reports don't arrive, if this router is a relay.
-func (c *Core) askUnheard() {
+// requestMissingReports requests the reports of routers whose reports don't arrive, if this router is a relay.
+func (c *Core) requestMissingReports() {
 	l := &c.loads
 	r := &l.reportRequests
-	if !l.presence.wanted || l.link.relay != "" || c.now < r.lastCheck+requestCheckInterval {
+	if !l.presence.enabled || l.link.relay != "" || c.now < r.lastCheck+requestCheckInterval {
 		return
 	}
 	r.lastCheck = c.now
@@ -75,7 +75,7 @@
 func (c *Core) requestReport(name string) {
 	m := c.members.Get(name)
 	if !m.Reachable() {
-		c.askDead(name)
+		c.probeDead(name)
 		return
 	}
 	request := &wire.Loads{Router: model.HashName(name), Process: uint32(m.Boot), Sequence: c.prompt.LastContact(name).Sequence}
--- a/core/restart_test.go
+++ b/core/restart_test.go
@@ -13,7 +13,7 @@
 )
 
 // submitPrompt sends a request that is decided by its prompt.
-func (f *fleet) submitPrompt(n *node, account model.AccountID, tokens, output int) {
+func (f *fleet) submitPrompt(n *testRouter, account model.AccountID, tokens, output int) {
 	f.nextID++
 	id := f.nextID
 	f.jobs[id] = &job{id: id, account: account, pool: model.Pool(assistant), output: float64(output), node: n, arrived: f.time.Now()}
@@ -34,9 +34,9 @@
 		inWindow = 4 * float64(time.Second/every) * (tokens + 2*output)
 	)
 	is := is.New(t)
-	f := newFleet(1, todaysConfig(promptaffinity.Policy), todaysHalls)
+	f := newFleet(1, nineRouterConfig(promptaffinity.Policy), nineRouterHalls)
 	account := model.Account(accountNames(1)[0])
-	restarted := f.nodes[4]
+	restarted := f.routers[4]
 	for i := range 1500 {
 		now := time.Duration(i) * every
 		f.runUntil(now)
@@ -46,7 +46,7 @@
 		case 25 * time.Second:
 			f.start(restarted)
 		}
-		n := f.nodes[i%len(f.nodes)]
+		n := f.routers[i%len(f.routers)]
 		if now >= 25*time.Second {
 			n = restarted
 		}
@@ -72,12 +72,12 @@
 func checkMovedRouter(t *testing.T, routers int) {
 	is := is.New(t)
 	f := loadedFleet(routers, 9000)
-	moved := f.nodes[4]
+	moved := f.routers[4]
 	f.kill(moved)
 	moved.moves++
 	f.start(moved)
 	f.runUntil(f.time.Now() + 8*time.Second) // before the VM list is read again
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		if n != moved {
 			is.Equal(n.core.members.Get(moved.name).Address, moved.address())
 			is.Equal(n.core.members.Get(moved.name).Status, wire.Status_STATUS_ALIVE)
--- a/core/run_test.go
+++ b/core/run_test.go
@@ -13,7 +13,7 @@
 // smallConfig returns a configuration of three backend servers with four slots each and four client accounts, one of
 // which has twice the weight.
 func smallConfig() *Config {
-	config := todaysConfig(fleetfair.Policy)
+	config := nineRouterConfig(fleetfair.Policy)
 	clear(config.Backends)
 	clear(config.Accounts)
 	for i, hall := range []string{"a", "b", "c"} {
@@ -78,7 +78,7 @@
 // submit sends a request of an account to one of its routers: the first account uses all, the others one or two. The
 // last account's requests are the longest, and it has by far the most of them.
 func (r *run) submit(id model.AccountID) {
-	n := len(r.fleet.nodes)
+	n := len(r.fleet.routers)
 	at := int(id) % n
 	if id == r.accounts[0] {
 		at = r.fleet.random.IntN(n)
@@ -86,7 +86,7 @@
 		at = (at + 1) % n
 	}
 	for range n {
-		if !r.fleet.nodes[at].down {
+		if !r.fleet.routers[at].down {
 			break
 		}
 		at = (at + 1) % n
@@ -98,24 +98,24 @@
 	}
 	output := float64(r.shortest + r.fleet.random.IntN(max(most-r.shortest, 1)))
 	input := float64(1 + r.fleet.random.IntN(mostInput))
-	r.fleet.submit(r.fleet.nodes[at], id, model.Pool(assistant), class, input, output, time.Hour)
+	r.fleet.submit(r.fleet.routers[at], id, model.Pool(assistant), class, input, output, time.Hour)
 }
 
-// troubles injects random faults one after the other, and ends each of them.
-func (r *run) troubles() {
+// injectFaults injects random faults one after the other, and ends each of them.
+func (r *run) injectFaults() {
 	for i := range rapid.IntRange(1, 4).Draw(r.t, "troubles") {
 		kind := rapid.SampledFrom([]string{"cut", "restart", "pause", "loss"}).Draw(r.t, fmt.Sprint("trouble", i))
-		node := r.fleet.nodes[rapid.IntRange(0, len(r.fleet.nodes)-1).Draw(r.t, fmt.Sprint("node", i))]
+		node := r.fleet.routers[rapid.IntRange(0, len(r.fleet.routers)-1).Draw(r.t, fmt.Sprint("node", i))]
 		lasts := time.Duration(rapid.IntRange(100, 8000).Draw(r.t, fmt.Sprint("lasts", i))) * time.Millisecond
-		r.trouble(kind, node, lasts)
+		r.injectFault(kind, node, lasts)
 	}
 }
 
-func (r *run) trouble(kind string, n *node, lasts time.Duration) {
+func (r *run) injectFault(kind string, n *testRouter, lasts time.Duration) {
 	f := r.fleet
 	switch kind {
 	case "cut":
-		f.cut = func(a, b *node) bool { return (a.hall == n.hall) != (b.hall == n.hall) }
+		f.cut = func(a, b *testRouter) bool { return (a.hall == n.hall) != (b.hall == n.hall) }
 		f.runUntil(f.time.Now() + lasts)
 		f.cut = nil
 	case "restart":
@@ -144,12 +144,12 @@
 	}
 }
 
-func (r *run) calm(d time.Duration) { r.fleet.runUntil(r.fleet.time.Now() + d) }
+func (r *run) advance(d time.Duration) { r.fleet.runUntil(r.fleet.time.Now() + d) }
 
 // gapBound is the bound on the gap between accounts of weight 1, in tokens, that docs/DESIGN.md derives, for the small
 // configuration. The slots include those by which interactive requests may exceed a backend server's.
 func (r *run) gapBound() float64 {
-	const slots = smallSlots + smallRunners*max(smallSlots/smallRunners/interactiveShare, 1)
+	const slots = smallSlots + smallRunners*max(smallSlots/smallRunners/overcommitDivisor, 1)
 	loop := 1.0 // seconds until service is recorded everywhere, with losses
 	capacity := slots * r.fleet.rate
 	largest := float64(r.longest + mostInput)
@@ -167,7 +167,7 @@
 // drainAll runs until all requests have ended.
 func (r *run) drainAll() {
 	for range 600 {
-		r.calm(time.Second)
+		r.advance(time.Second)
 		if len(r.fleet.jobs) == 0 {
 			return
 		}
--- a/core/share_test.go
+++ b/core/share_test.go
@@ -14,13 +14,13 @@
 	"github.com/tamarindstep/tamarindstep/policy/fleetfair"
 )
 
-// todaysHalls are the data halls of a fleet of nine routers.
-var todaysHalls = []string{"a", "a", "a", "b", "b", "b", "c", "c", "c"}
+// nineRouterHalls are the data halls of a fleet of nine routers.
+var nineRouterHalls = []string{"a", "a", "a", "b", "b", "b", "c", "c", "c"}
 
 const assistant = "assistant"
 
-// todaysConfig returns a configuration of nine runners with eight slots each and ten accounts.
-func todaysConfig(p *policy.Policy) *Config {
+// nineRouterConfig returns a configuration of nine runners with eight slots each and ten accounts.
+func nineRouterConfig(p *policy.Policy) *Config {
 	config := &Config{
 		Generation: 1,
 		Policy:     p,
@@ -31,7 +31,7 @@
 	for i := range 9 {
 		name := fmt.Sprintf("runner-%d", i+1)
 		config.Backends[model.Backend(name)] = Backend{
-			Name: name, Pool: model.Pool(assistant), DataHall: todaysHalls[i], Slots: 8,
+			Name: name, Pool: model.Pool(assistant), DataHall: nineRouterHalls[i], Slots: 8,
 		}
 	}
 	for _, name := range accountNames(10) {
@@ -66,9 +66,9 @@
 }
 
 func (l *closedLoad) submit() {
-	n := l.fleet.nodes[l.routers[l.random.IntN(len(l.routers))]%len(l.fleet.nodes)]
+	n := l.fleet.routers[l.routers[l.random.IntN(len(l.routers))]%len(l.fleet.routers)]
 	for n.down {
-		n = l.fleet.nodes[l.random.IntN(len(l.fleet.nodes))]
+		n = l.fleet.routers[l.random.IntN(len(l.fleet.routers))]
 	}
 	class := model.Interactive
 	if l.random.Float64() < l.batch {
@@ -87,8 +87,8 @@
 			batch: 1, mean: 300, spread: 1,
 		}
 		// The first accounts are large and use all routers; the others use one or two.
-		for r := range len(f.nodes) {
-			if i < 3 || r == i%len(f.nodes) || r == (i*4)%len(f.nodes) {
+		for r := range len(f.routers) {
+			if i < 3 || r == i%len(f.routers) || r == (i*4)%len(f.routers) {
 				l.routers = append(l.routers, r)
 			}
 		}
@@ -114,7 +114,7 @@
 func TestFleetSharesFairly(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(1, todaysConfig(fleetfair.Policy), todaysHalls)
+	f := newFleet(1, nineRouterConfig(fleetfair.Policy), nineRouterHalls)
 	backlog(f, 1, 60)
 	worst, bytes := 0.0, int64(0)
 	busy, samples := 0, 0
@@ -128,7 +128,7 @@
 			}
 		}
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		bytes = max(bytes, n.bytes)
 	}
 	total := 0.0
--- a/core/slots.go
+++ b/core/slots.go
@@ -13,8 +13,8 @@
 	recovery = 300 * time.Millisecond
 	// maxLoadAge is the greatest age of a backend server's load report.
 	maxLoadAge = 2 * time.Second
-	// interactiveShare is the number of slots for each of which interactive requests may take one slot more.
-	interactiveShare = 8
+	// overcommitDivisor is the number of slots for each of which interactive requests may take one slot more.
+	overcommitDivisor = 8
 )
 
 // own starts accounting for a backend server, or applies a change of its slots.
@@ -41,7 +41,7 @@
 }
 
 func (c *Core) free(b *backend) int {
-	if c.now < b.ready || c.now < b.suspendedUntil || c.refuses(b.id) || b.load.Leaving || b.load.Failed {
+	if c.now < b.ready || c.now < b.suspendedUntil || c.excludes(b.id) || b.load.Leaving || b.load.Failed {
 		return 0
 	}
 	return b.limit - c.occupied(b) - b.foreign
@@ -82,7 +82,7 @@
 // applyNotice applies a notice that a backend server sent about itself. If this router owns the backend server, it
 // grants no slots while the notice asks for no new requests: the receiver couldn't use the grant and the slot would
 // idle.
-func (c *Core) applyNotice(e Noticed) {
+func (c *Core) applyNotice(e NoticeReceived) {
 	c.notices.Record(c.now, e.Backend, e.Notice)
 	if b := c.backends[e.Backend]; b != nil {
 		b.suspendedUntil = max(b.suspendedUntil, c.notices.RestsUntil(c.now, e.Backend))
@@ -106,7 +106,7 @@
 	if c.now < b.adjusted+maxLoadAge {
 		return
 	}
-	over := b.slots/interactiveShare + 1
+	over := b.slots/overcommitDivisor + 1
 	switch {
 	case b.load.Waiting > over:
 		b.limit = max(b.limit-max(b.load.Waiting/2, 1), 1)
@@ -173,6 +173,6 @@
 
 // mayExceed reports whether interactive requests may exceed a backend server's slots.
 func (c *Core) mayExceed(b *backend) bool {
-	usable := c.now >= b.ready && c.now >= b.suspendedUntil && !c.refuses(b.id) && !b.load.Leaving && !b.load.Failed
+	usable := c.now >= b.ready && c.now >= b.suspendedUntil && !c.excludes(b.id) && !b.load.Leaving && !b.load.Failed
 	return usable && c.config.Policy.Owned && c.config.Pools[b.pool].FollowLoad
 }
--- a/core/suspicions.go
+++ b/core/suspicions.go
@@ -26,12 +26,12 @@
 	failed   map[model.Fingerprint]int // failed tries of the requests that are held back
 	lastSent map[string]model.Time     // when suspicions were last sent, by router
 
-	grantRequired bool                 // a try must be granted first, see AskTry
-	asking        map[RequestID]Arrive // requests that wait for a TryAnswered
+	grantRequired bool                 // a try must be granted first, see RequestTry
+	pendingTries  map[RequestID]Arrive // requests that wait for a TryAnswered
 }
 
 func newSuspicions(salt uint64) suspicions {
-	return suspicions{book: suspect.New(salt), held: map[model.Fingerprint]bool{}, lastSent: map[string]model.Time{}, asking: map[RequestID]Arrive{}}
+	return suspicions{book: suspect.New(salt), held: map[model.Fingerprint]bool{}, lastSent: map[string]model.Time{}, pendingTries: map[RequestID]Arrive{}}
 }
 
 // holdBack refuses a request that is held back, or requests a grant for its try. It returns false if the request is to
@@ -45,51 +45,51 @@
 	case !verdict.Held:
 		return false
 	case !verdict.Try:
-		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: verdict.RetryAfter})
+		c.emit(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: verdict.RetryAfter})
 	case c.suspicions.grantRequired:
-		c.suspicions.asking[e.ID] = e
-		c.do(AskTry{ID: e.ID, Fingerprint: e.Fingerprint})
+		c.suspicions.pendingTries[e.ID] = e
+		c.emit(RequestTry{ID: e.ID, Fingerprint: e.Fingerprint})
 	default:
 		return !c.try(e)
 	}
 	return true
 }
 
-// AskForTries makes each try subject to a grant that is requested by an AskTry. Without it, routers whose tries are due
+// RequireTryGrants makes each try subject to a grant that is requested by an RequestTry. Without it, routers whose tries are due
 // at the same time would all try, as a try takes some tenths of a second to become known at the others.
-func (c *Core) AskForTries() { c.suspicions.grantRequired = true }
+func (c *Core) RequireTryGrants() { c.suspicions.grantRequired = true }
 
 // try records that a held-back request is sent once more, and reports whether it may be.
 func (c *Core) try(e Arrive) bool {
 	book := c.suspicions.book
 	if !book.StartTry(c.now, e.Fingerprint) {
-		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: book.NextTry(e.Fingerprint) - c.now})
+		c.emit(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: book.NextTry(e.Fingerprint) - c.now})
 		return false
 	}
-	c.do(Tried{Fingerprint: e.Fingerprint, Account: e.Account, Ends: len(book.Ends(e.Fingerprint))})
+	c.emit(Tried{Fingerprint: e.Fingerprint, Account: e.Account, Ends: len(book.Ends(e.Fingerprint))})
 	return true
 }
 
 // tryAnswered continues with a request for whose try a grant was requested.
 func (c *Core) tryAnswered(e TryAnswered) {
-	waited, waits := c.suspicions.asking[e.ID]
+	waited, waits := c.suspicions.pendingTries[e.ID]
 	if !waits {
 		return // its caller has left
 	}
-	delete(c.suspicions.asking, e.ID)
+	delete(c.suspicions.pendingTries, e.ID)
 	if !e.Granted {
-		c.do(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: c.suspicions.book.NextTry(waited.Fingerprint) - c.now})
+		c.emit(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: c.suspicions.book.NextTry(waited.Fingerprint) - c.now})
 		return
 	}
 	if c.try(waited) {
-		c.arrived(waited)
+		c.processArrival(waited)
 	}
 }
 
 // serverEnded records that a backend server has ended during a request.
 func (c *Core) serverEnded(e ServerEnded) {
 	c.suspicions.book.RecordEnd(c.now, e.Fingerprint, e.Account, suspect.End{
-		Backend: e.Backend, At: c.now, Ran: e.Ran, Begun: e.Begun,
+		Backend: e.Backend, At: c.now, Ran: e.RunTime, Begun: e.Begun,
 	})
 }
 
@@ -98,8 +98,8 @@
 	c.suspicions.book.RecordAnswer(c.now, e.Fingerprint)
 }
 
-// takeSuspicions merges suspicions received from another router.
-func (c *Core) takeSuspicions(received []*wire.Suspicion) {
+// mergeSuspicions merges suspicions received from another router.
+func (c *Core) mergeSuspicions(received []*wire.Suspicion) {
 	for _, in := range received {
 		if s, ok := decodeSuspicion(c.now, in); ok {
 			c.suspicions.book.Merge(c.now, s)
@@ -116,9 +116,9 @@
 	}
 }
 
-// compareSuspicions sends a router the suspicions recorded here if its digest differs. Of more than maxSuspicionsSent
+// sendMissingSuspicions sends a router the suspicions recorded here if its digest differs. Of more than maxSuspicionsSent
 // it sends a random range.
-func (c *Core) compareSuspicions(d *wire.Datagram) {
+func (c *Core) sendMissingSuspicions(d *wire.Datagram) {
 	s := &c.suspicions
 	if d.SuspicionsDigest == s.book.Digest() || c.now < s.lastSent[d.From]+suspicionsInterval {
 		return
@@ -132,12 +132,12 @@
 		at := c.random.IntN(n)
 		known = slices.Concat(known[at:], known[:at])[:maxSuspicionsSent]
 	}
-	c.to(d.From).Suspicions = encodeSuspicions(c.now, known)
+	c.datagramTo(d.From).Suspicions = encodeSuspicions(c.now, known)
 }
 
-// followSuspicions reports changes of the requests that are held back, and of the client accounts whose requests are to
+// reportSuspicionChanges reports changes of the requests that are held back, and of the client accounts whose requests are to
 // be fingerprinted.
-func (c *Core) followSuspicions() {
+func (c *Core) reportSuspicionChanges() {
 	s := &c.suspicions
 	if s.book.NextSend() <= c.now {
 		c.loads.changed = true
@@ -148,19 +148,19 @@
 	s.version = s.book.Version()
 	if accounts := s.book.Accounts(); !slices.Equal(accounts, s.accounts) {
 		s.accounts = accounts
-		c.do(Suspected{Accounts: accounts})
+		c.emit(SuspectedAccounts{Accounts: accounts})
 	}
 	held, failed := map[model.Fingerprint]bool{}, map[model.Fingerprint]int{}
 	for _, h := range s.book.Held() {
 		f := h.Fingerprint
 		held[f], failed[f] = true, s.book.Failed(f)
 		if !s.held[f] || failed[f] > s.failed[f] {
-			c.do(HeldChanged{Held: true, Failed: s.held[f], Seen: s.book.Observed(f), Suspicion: encodeSuspicion(c.now, h)})
+			c.emit(HeldChanged{Held: true, Failed: s.held[f], Seen: s.book.Observed(f), Suspicion: encodeSuspicion(c.now, h)})
 		}
 	}
 	for _, f := range sortedKeys(s.held) {
 		if !held[f] {
-			c.do(HeldChanged{Seen: s.book.Observed(f), Suspicion: &wire.Suspicion{Fingerprint: uint64(f)}})
+			c.emit(HeldChanged{Seen: s.book.Observed(f), Suspicion: &wire.Suspicion{Fingerprint: uint64(f)}})
 		}
 	}
 	s.held, s.failed = held, failed
--- a/core/suspicions_test.go
+++ b/core/suspicions_test.go
@@ -16,16 +16,16 @@
 const suspectRequest = model.Fingerprint(0xfeed)
 
 // endServer makes a router see a backend server end during the request.
-func (f *fleet) endServer(n *node, server string) {
+func (f *fleet) endServer(n *testRouter, server string) {
 	f.step(n, ServerEnded{
-		Fingerprint: suspectRequest, Account: model.Account(accountNames(1)[0]), Backend: model.Backend(server), Ran: 80 * time.Millisecond,
+		Fingerprint: suspectRequest, Account: model.Account(accountNames(1)[0]), Backend: model.Backend(server), RunTime: 80 * time.Millisecond,
 	})
 }
 
 // routersHolding returns the number of live routers that hold the request back.
 func (f *fleet) routersHolding() int {
 	out := 0
-	for _, n := range f.nodes {
+	for _, n := range f.routers {
 		if !n.down && n.core.suspicions.held[suspectRequest] {
 			out++
 		}
@@ -41,10 +41,10 @@
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			is := is.New(t)
 			f := loadedFleet(routers, 60_000)
-			f.endServer(f.nodes[0], "run-1")
+			f.endServer(f.routers[0], "run-1")
 			f.runUntil(f.time.Now() + time.Second)
 			is.Equal(f.routersHolding(), 0)
-			f.endServer(f.nodes[routers-1], "run-2")
+			f.endServer(f.routers[routers-1], "run-2")
 			began := f.time.Now()
 			for f.routersHolding() < routers && f.time.Now() < began+4*time.Second {
 				f.runUntil(f.time.Now() + 10*time.Millisecond)
@@ -52,7 +52,7 @@
 			t.Logf("all %d routers hold it back after %v", routers, f.time.Now()-began)
 			is.Equal(f.routersHolding(), routers)
 			is.True(f.time.Now()-began < time.Second)
-			f.step(f.nodes[routers/2], Answered{Fingerprint: suspectRequest})
+			f.step(f.routers[routers/2], Answered{Fingerprint: suspectRequest})
 			f.runUntil(f.time.Now() + time.Second)
 			is.Equal(f.routersHolding(), 0)
 		})
@@ -64,21 +64,21 @@
 func TestReturningRoutersReceiveSuspicions(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 60_000)
-	isolated := f.nodes[4]
-	f.cut = func(a, b *node) bool { return (a == isolated) != (b == isolated) }
-	f.kill(f.nodes[5])
-	f.endServer(f.nodes[0], "run-1")
-	f.endServer(f.nodes[1], "run-2")
+	isolated := f.routers[4]
+	f.cut = func(a, b *testRouter) bool { return (a == isolated) != (b == isolated) }
+	f.kill(f.routers[5])
+	f.endServer(f.routers[0], "run-1")
+	f.endServer(f.routers[1], "run-2")
 	f.runUntil(f.time.Now() + 20*time.Second)
-	f.endServer(f.nodes[1], "run-3")
+	f.endServer(f.routers[1], "run-3")
 	f.runUntil(f.time.Now() + time.Second)
 	is.Equal(f.routersHolding(), 7)
 	f.cut = nil
-	f.start(f.nodes[5])
+	f.start(f.routers[5])
 	f.runUntil(f.time.Now() + 3*time.Second)
 	is.Equal(f.routersHolding(), 9)
 	resent := 0
-	f.tamper = func(d *wire.Datagram) *wire.Datagram {
+	f.modify = func(d *wire.Datagram) *wire.Datagram {
 		resent += len(d.Suspicions)
 		return d
 	}
@@ -120,7 +120,7 @@
 	is := is.New(t)
 	before := newStoringRouter()
 	ended := func(server string) ServerEnded {
-		return ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond}
+		return ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend(server), RunTime: 80 * time.Millisecond}
 	}
 	before.step(time.Second, ended("run-1"))
 	before.step(2*time.Second, ended("run-2"))
@@ -131,7 +131,7 @@
 	is.Equal(len(before.stored.Backends), 3)
 
 	after := newStoringRouter()
-	after.step(time.Second, HeldInStore{Suspicions: []*wire.Suspicion{before.stored}})
+	after.step(time.Second, HeldRequestsLoaded{Suspicions: []*wire.Suspicion{before.stored}})
 	for now := 2 * time.Second; now < 5*time.Minute; now += time.Second {
 		refused, tried := after.step(now, Arrive{ID: 1, Account: 7, Fingerprint: suspectRequest})
 		is.True(!tried && refused.Reason == HeldBack)
@@ -148,13 +148,13 @@
 		for end := range 2 {
 			server := fmt.Sprintf("run-%d-%d", f, end)
 			r.step(time.Duration(end+1)*time.Second, ServerEnded{
-				Fingerprint: model.Fingerprint(f + 1), Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond,
+				Fingerprint: model.Fingerprint(f + 1), Account: 7, Backend: model.Backend(server), RunTime: 80 * time.Millisecond,
 			})
 		}
 		stored = append(stored, r.stored)
 	}
 	after := newStoringRouter()
-	after.step(time.Second, HeldInStore{Suspicions: stored})
+	after.step(time.Second, HeldRequestsLoaded{Suspicions: stored})
 	for f := range stored {
 		refused, _ := after.step(2*time.Second, Arrive{ID: RequestID(f + 1), Account: 7, Fingerprint: model.Fingerprint(f + 1)})
 		is.True(refused != nil && refused.Reason == HeldBack)
@@ -169,30 +169,30 @@
 func TestTriesRequireGrant(t *testing.T) {
 	is := is.New(t)
 	r := newStoringRouter()
-	r.core.AskForTries()
+	r.core.RequireTryGrants()
 	for i, server := range []string{"run-1", "run-2"} {
-		r.step(time.Duration(i+1)*time.Second, ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend(server), Ran: 80 * time.Millisecond})
+		r.step(time.Duration(i+1)*time.Second, ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend(server), RunTime: 80 * time.Millisecond})
 	}
 	arrive := func(now model.Time, id RequestID) []Action {
 		return r.core.Step(now, Arrive{ID: id, Account: 7, Fingerprint: suspectRequest})
 	}
-	is.Equal(arrive(10*time.Second, 1), []Action{AskTry{ID: 1, Fingerprint: suspectRequest}})
+	is.Equal(arrive(10*time.Second, 1), []Action{RequestTry{ID: 1, Fingerprint: suspectRequest}})
 	refused, tried := r.step(10*time.Second, Arrive{ID: 2, Account: 7, Fingerprint: suspectRequest})
 	is.True(!tried && refused.ID == 2 && refused.Reason == HeldBack)
 	refused, tried = r.step(10*time.Second+5*time.Millisecond, TryAnswered{ID: 1})
 	is.True(!tried && refused.ID == 1 && refused.RetryAfter > time.Second)
 
-	is.Equal(arrive(30*time.Second, 3), []Action{AskTry{ID: 3, Fingerprint: suspectRequest}})
+	is.Equal(arrive(30*time.Second, 3), []Action{RequestTry{ID: 3, Fingerprint: suspectRequest}})
 	_, tried = r.step(30*time.Second+5*time.Millisecond, TryAnswered{ID: 3, Granted: true})
 	is.True(tried)
 
-	is.Equal(arrive(60*time.Second, 4), []Action{AskTry{ID: 4, Fingerprint: suspectRequest}})
+	is.Equal(arrive(60*time.Second, 4), []Action{RequestTry{ID: 4, Fingerprint: suspectRequest}})
 	r.step(60*time.Second, Abandon{ID: 4})
 	refused, tried = r.step(60*time.Second+5*time.Millisecond, TryAnswered{ID: 4, Granted: true})
 	is.True(!tried && refused == nil) // its caller has left
 
-	is.Equal(arrive(90*time.Second, 5), []Action{AskTry{ID: 5, Fingerprint: suspectRequest}})
-	r.step(90*time.Second+2*time.Millisecond, ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend("run-9"), Ran: 80 * time.Millisecond})
+	is.Equal(arrive(90*time.Second, 5), []Action{RequestTry{ID: 5, Fingerprint: suspectRequest}})
+	r.step(90*time.Second+2*time.Millisecond, ServerEnded{Fingerprint: suspectRequest, Account: 7, Backend: model.Backend("run-9"), RunTime: 80 * time.Millisecond})
 	refused, tried = r.step(90*time.Second+5*time.Millisecond, TryAnswered{ID: 5, Granted: true})
 	is.True(!tried && refused.ID == 5) // a backend server has ended during it meanwhile
 }
--- a/core/watch.go
+++ b/core/watch.go
@@ -95,11 +95,11 @@
 	if c.now >= c.contactDue() {
 		w.contacting = true
 		w.contactedAt = c.now
-		c.do(ContactStore{})
+		c.emit(ContactStore{})
 	}
 	if w.active() != w.reported {
 		w.reported = w.active()
-		c.do(WatchStore{Watch: w.reported, Chosen: w.chosen, Unreached: c.now - w.reached})
+		c.emit(WatchStore{Watch: w.reported, Chosen: w.chosen, Unreached: c.now - w.reached})
 	}
 }
 
@@ -142,7 +142,7 @@
 	case !reached && w.unansweredSince == 0:
 		w.unansweredSince = w.contactedAt
 	case reached && w.unansweredSince > 0:
-		c.do(StoreReturned{Silent: c.now - w.unansweredSince})
+		c.emit(StoreReturned{Silent: c.now - w.unansweredSince})
 		w.unansweredSince = 0
 	}
 }
--- a/core/watch_test.go
+++ b/core/watch_test.go
@@ -24,15 +24,15 @@
 	for i := range routers {
 		halls = append(halls, fmt.Sprintf("hall-%d", i%3))
 	}
-	f := newFleet(seed, todaysConfig(promptaffinity.Policy), halls)
+	f := newFleet(seed, nineRouterConfig(promptaffinity.Policy), halls)
 	f.runUntil(faultsBegin)
 	return f
 }
 
 // watching returns the number of routers that watch the store and satisfy a predicate.
-func (f *fleet) watching(satisfies func(*node) bool) int {
+func (f *fleet) watching(satisfies func(*testRouter) bool) int {
 	n := 0
-	for _, o := range f.nodes {
+	for _, o := range f.routers {
 		if satisfies(o) && o.core.watch.active() {
 			n++
 		}
@@ -40,7 +40,7 @@
 	return n
 }
 
-func anyRouter(*node) bool { return true }
+func anyRouter(*testRouter) bool { return true }
 
 // TestWatchersCutOffFromTheStoreAreReplaced makes the store unreachable for exactly the watchers, whose watches then
 // receive nothing, as if nothing changed.
@@ -50,13 +50,13 @@
 		bound := watchBound[routers]
 		is := is.New(t)
 		f := idleFleet(uint64(routers), routers)
-		unreachable := map[*node]bool{}
-		for _, n := range f.nodes {
+		unreachable := map[*testRouter]bool{}
+		for _, n := range f.routers {
 			unreachable[n] = n.core.watch.active()
 		}
-		reachable := func(n *node) bool { return !unreachable[n] }
+		reachable := func(n *testRouter) bool { return !unreachable[n] }
 		is.Equal(f.watching(reachable), 0)
-		f.storeUnreachable = func(n *node) bool { return unreachable[n] }
+		f.storeUnreachable = func(n *testRouter) bool { return unreachable[n] }
 		f.runUntil(faultsBegin + bound)
 		substitutes := f.watching(reachable)
 		t.Logf("%d routers: %d substitutes", routers, substitutes)
@@ -75,12 +75,12 @@
 		bound := watchBound[routers]
 		is := is.New(t)
 		f := idleFleet(uint64(routers), routers)
-		cut := map[*node]bool{}
+		cut := map[*testRouter]bool{}
 		for i := 0; i < routers/3; i++ {
-			cut[f.nodes[i*3]] = true
+			cut[f.routers[i*3]] = true
 		}
-		isolated := func(n *node) bool { return cut[n] }
-		f.cut = func(a, b *node) bool { return cut[a] || cut[b] }
+		isolated := func(n *testRouter) bool { return cut[n] }
+		f.cut = func(a, b *testRouter) bool { return cut[a] || cut[b] }
 		f.runUntil(faultsBegin + bound)
 		is.Equal(f.watching(isolated), len(cut))
 		f.cut = nil
@@ -95,13 +95,13 @@
 	t.Parallel()
 	is := is.New(t)
 	f := idleFleet(3, 64)
-	separated := map[*node]bool{}
-	for _, n := range f.nodes {
+	separated := map[*testRouter]bool{}
+	for _, n := range f.routers {
 		if !n.core.watch.chosen && len(separated) < 30 {
 			separated[n] = true
 		}
 	}
-	f.cut = func(a, b *node) bool { return separated[a] != separated[b] }
+	f.cut = func(a, b *testRouter) bool { return separated[a] != separated[b] }
 	for at := watchBound[64]; at < 30*time.Second; at += time.Second {
 		f.runUntil(faultsBegin + at)
 		for n := range separated {
--- a/emulator/callers.go
+++ b/emulator/callers.go
@@ -100,7 +100,7 @@
 
 // refuseByHeader refuses a request that exceeds the processing rate of the router.
 func (s *simulation) refuseByHeader(r *router, c *call) {
-	s.step(r, core.TurnedAway{Requests: []core.Unread{{
+	s.step(r, core.RefusedUnread{Requests: []core.UnreadRequest{{
 		Account: model.Account(accountName(c.account)), Pool: model.Pool(poolName),
 		Route: uint32(c.kind), Prompt: c.prompt,
 	}}})
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -142,7 +142,7 @@
 	s := a.service
 	a.refused, a.shed = queueFull, true
 	s.metrics.Front.Unread.WithLabelValues(string(verdict.Reason)).Inc()
-	s.scheduler.TurnAway(core.Unread{
+	s.scheduler.TurnAway(core.UnreadRequest{
 		Account: a.account, Pool: a.route.PoolFor(rand.Float64()),
 		Route: model.HashName(a.route.Name), Prompt: a.meta.Prompt,
 	})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -213,8 +213,8 @@
 			Prompt:    a.meta.Prompt,
 			Objective: a.route.Through.Objective,
 			Priority:  a.route.Through.Priority,
-			Except:    a.tried,
-			Repeat:    a.sends > 0,
+			Exclude:   a.tried,
+			Retry:     a.sends > 0,
 
 			Fingerprint: a.blame.Suspect(),
 		})
--- a/generation/fetch.go
+++ b/generation/fetch.go
@@ -104,7 +104,7 @@
 }
 
 // generationSeen handles the versions that another router announced, and fetches from it if they are newer.
-func (s *Service) generationSeen(seen core.GenerationSeen) {
+func (s *Service) generationSeen(seen core.NewerVersionSeen) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recordSeen(seen.Versions)
@@ -112,7 +112,7 @@
 		return
 	}
 	if s.fetching {
-		if seen.Near && s.fetchBegan.IsZero() {
+		if seen.SameDataHall && s.fetchBegan.IsZero() {
 			s.fetchFrom = seen.Address
 		}
 		s.hedge(seen.Address)
@@ -121,7 +121,7 @@
 	s.fetching, s.hedged, s.fetchBegan = true, false, time.Time{}
 	s.fetchFrom = seen.Address
 	pause := fetchCooldown - time.Since(s.fetchEnded)
-	if !seen.Near && !s.isUrgent(seen.Versions) {
+	if !seen.SameDataHall && !s.isUrgent(seen.Versions) {
 		pause = max(pause, crossHallDelay)
 	}
 	s.ended.Add(1)
--- a/generation/fetch_test.go
+++ b/generation/fetch_test.go
@@ -54,8 +54,8 @@
 		s.installValue(store.Value{Data: []byte("1"), Revision: 1})
 		began := time.Now()
 		for s.versions().Generation < 2 && time.Since(began) < 5*time.Second {
-			s.generationSeen(core.GenerationSeen{From: "silent", Address: "silent", Versions: core.Versions{Generation: 2}})
-			s.generationSeen(core.GenerationSeen{From: "other", Address: "other", Versions: core.Versions{Generation: 2}})
+			s.generationSeen(core.NewerVersionSeen{From: "silent", Address: "silent", Versions: core.Versions{Generation: 2}})
+			s.generationSeen(core.NewerVersionSeen{From: "other", Address: "other", Versions: core.Versions{Generation: 2}})
 			time.Sleep(50 * time.Millisecond)
 		}
 		t.Logf("in force after %v", time.Since(began))
--- a/generation/stale_test.go
+++ b/generation/stale_test.go
@@ -31,7 +31,7 @@
 		s.ready.Store(true)
 		receive := func(from string, d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-				s.generationSeen(core.GenerationSeen{From: from, Address: from, Versions: core.Versions{Generation: 2}})
+				s.generationSeen(core.NewerVersionSeen{From: from, Address: from, Versions: core.Versions{Generation: 2}})
 			}
 		}
 		receive("silent", staleGrace/2)
--- a/heldstore/heldstore.go
+++ b/heldstore/heldstore.go
@@ -140,7 +140,7 @@
 		if err == nil {
 			if held := s.decode(v); len(held.Suspicions) > 0 {
 				s.log.Info().Int("requests", len(held.Suspicions)).Msg("held-back requests read from the store")
-				s.scheduler.Tell(core.HeldInStore{Suspicions: held.Suspicions})
+				s.scheduler.Tell(core.HeldRequestsLoaded{Suspicions: held.Suspicions})
 			}
 			return v
 		}
--- a/heldstore/heldstore_test.go
+++ b/heldstore/heldstore_test.go
@@ -82,7 +82,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch e := e.(type) {
-	case core.HeldInStore:
+	case core.HeldRequestsLoaded:
 		for _, s := range e.Suspicions {
 			d.received = append(d.received, s.Fingerprint)
 		}
--- a/heldstore/tries.go
+++ b/heldstore/tries.go
@@ -25,7 +25,7 @@
 )
 
 // try claims a try in the background and sends the result to the scheduler.
-func (s *Service) try(a core.AskTry) {
+func (s *Service) try(a core.RequestTry) {
 	s.claims.Go(func() {
 		ctx, cancel := context.WithTimeout(s.run, claimTimeout)
 		defer cancel()
--- a/notices/notices.go
+++ b/notices/notices.go
@@ -49,7 +49,7 @@
 	if n.Rest > 0 {
 		b.counter.WithLabelValues("rest").Inc()
 	}
-	b.decisions.Tell(core.Noticed{Backend: id, Notice: n})
+	b.decisions.Tell(core.NoticeReceived{Backend: id, Notice: n})
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.book.Record(b.clock.Now(), id, n)
--- a/scheduler/observer.go
+++ b/scheduler/observer.go
@@ -14,7 +14,7 @@
 	// Loads receives the backend servers whose load is to be polled.
 	Loads func(backends []model.BackendID)
 	// Generation receives a router that has a newer generation in force.
-	Generation func(core.GenerationSeen)
+	Generation func(core.NewerVersionSeen)
 	// Store receives whether the store is to be watched.
 	Store func(watch bool)
 	// Returned is called when the store answers again: pending calls may never be answered, new
@@ -28,7 +28,7 @@
 	Held func(core.HeldChanged)
 	// Try requests permission for a try of a held-back request; the result is sent to the core as core.TryAnswered. If no
 	// observer has it, each router decides on its own.
-	Try func(core.AskTry)
+	Try func(core.RequestTry)
 }
 
 // Observe adds an observer. It must be called before the core processes events.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -95,7 +95,7 @@
 // may be loaded. It must be called before Start.
 func (s *Service) LimitCold(limits cold.Limits) { s.cold = limits }
 
-// HomesInHalls gives prompts that share parts a home in each data hall, instead of one in the
+// AssignHomesPerDataHall gives prompts that share parts a home in each data hall, instead of one in the
 // fleet. It must be called before Start.
 func (s *Service) HomesInHalls() { s.homePerHall = true }
 
@@ -226,10 +226,10 @@
 	c.LimitLoads(s.loadsBytes)
 	c.LimitCold(s.cold)
 	if s.homePerHall {
-		c.HomesInHalls()
+		c.AssignHomesPerDataHall()
 	}
 	if s.hasTryObserver() {
-		c.AskForTries()
+		c.RequireTryGrants()
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -259,7 +259,7 @@
 func (s *Service) recordLag(c *core.Core, late time.Duration) {
 	s.lag.record(late)
 	if late > lateThreshold || s.lag.behind() {
-		c.Late(s.now())
+		c.RecordDelay(s.now())
 	}
 }
 
@@ -287,7 +287,7 @@
 			CopyFrom: a.CopyFrom, Copied: a.Copied,
 		})
 	case core.Refuse:
-		s.deliver(a.ID, Decision{Refusal: a.Reason, RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis, Holds: a.Holds})
+		s.deliver(a.ID, Decision{Refusal: a.Reason, RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis, Holds: a.ValidFor})
 	case core.Send:
 		s.send(a)
 	case core.Watch:
@@ -309,17 +309,17 @@
 		s.notify(func(o Observer) func() { return o.Returned })
 	case core.ContactStore:
 		s.notify(func(o Observer) func() { return o.Contact })
-	case core.GenerationSeen:
+	case core.NewerVersionSeen:
 		s.eachObserver(func(o Observer) {
 			if o.Generation != nil {
 				o.Generation(a)
 			}
 		})
-	case core.Suspected:
+	case core.SuspectedAccounts:
 		s.setSuspected(a.Accounts)
 	case core.HeldChanged:
 		s.reportHeld(a)
-	case core.AskTry:
+	case core.RequestTry:
 		s.requestTry(a)
 	case core.Tried:
 		s.log.Info().Stringer("fingerprint", a.Fingerprint).Int("ends", a.Ends).Msg("held-back request tried")
@@ -337,18 +337,18 @@
 // logOverdue logs that a router's load reports are overdue, or arrive again.
 func (s *Service) logOverdue(a core.LoadsOverdue) {
 	message := "load reports overdue"
-	if a.Again {
+	if a.Resumed {
 		message = "load reports arrive again"
 	}
-	s.log.Info().Str("of", a.Router).Dur("silent_ms", a.Silent).Uint64("sequence", a.Sequence).
-		Str("relay", a.Relay).Dur("relay_heard_ms", a.Relayed).
-		Int("dropped", a.Dropped).Str("because", a.Because).Int("overdue", a.Overdue).Msg(message)
+	s.log.Info().Str("of", a.Router).Dur("silent_ms", a.Silence).Uint64("sequence", a.Sequence).
+		Str("relay", a.Relay).Dur("relay_heard_ms", a.RelaySilence).
+		Int("dropped", a.Dropped).Str("because", a.Reason).Int("overdue", a.Overdue).Msg(message)
 }
 
 // send sends a datagram, and counts its bytes if the receiver is in another data hall.
 func (s *Service) send(a core.Send) {
 	bytes := s.peers.Send(a.Address, a.Datagram)
-	if a.Far {
+	if a.OtherDataHall {
 		s.metrics.Halls.Bytes.WithLabelValues(telemetry.HallControl).Add(float64(bytes))
 	}
 }
--- a/scheduler/suspected.go
+++ b/scheduler/suspected.go
@@ -31,7 +31,7 @@
 }
 
 // requestTry sends the request for a try to the observers.
-func (s *Service) requestTry(a core.AskTry) {
+func (s *Service) requestTry(a core.RequestTry) {
 	s.mu.Lock()
 	if s.waiters[a.ID] != nil {
 		s.tryRequested[a.ID] = s.now()
--- a/scheduler/suspected_test.go
+++ b/scheduler/suspected_test.go
@@ -20,13 +20,13 @@
 	const grantDelay = 20 * time.Millisecond
 	for _, d := range []Decision{{Dispatched: true}, {Refusal: core.HeldBack}} {
 		r := s.Submit(core.Arrive{})
-		s.requestTry(core.AskTry{ID: r.id})
+		s.requestTry(core.RequestTry{ID: r.id})
 		time.Sleep(grantDelay)
 		s.deliver(r.id, d)
 		is.True((<-r.Decisions).Waited >= grantDelay)
 	}
 	abandoned := s.Submit(core.Arrive{})
-	s.requestTry(core.AskTry{ID: abandoned.id})
+	s.requestTry(core.RequestTry{ID: abandoned.id})
 	abandoned.Abandon()
 	is.Equal(len(s.tryRequested), 0)
 }
--- a/scheduler/unread.go
+++ b/scheduler/unread.go
@@ -15,11 +15,11 @@
 // unreadBatch collects requests that were refused unread.
 type unreadBatch struct {
 	mu       sync.Mutex
-	requests []core.Unread
+	requests []core.UnreadRequest
 }
 
 // add adds a request, and reports whether it is the first of the batch.
-func (u *unreadBatch) add(r core.Unread) bool {
+func (u *unreadBatch) add(r core.UnreadRequest) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.requests = append(u.requests, r)
@@ -27,7 +27,7 @@
 }
 
 // take returns the requests collected and clears the batch.
-func (u *unreadBatch) take() []core.Unread {
+func (u *unreadBatch) take() []core.UnreadRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := u.requests
@@ -36,8 +36,8 @@
 }
 
 // TurnAway reports a request that was refused without a decision of the core.
-func (s *Service) TurnAway(r core.Unread) {
+func (s *Service) TurnAway(r core.UnreadRequest) {
 	if s.unread.add(r) {
-		time.AfterFunc(unreadInterval, func() { s.Tell(core.TurnedAway{Requests: s.unread.take()}) })
+		time.AfterFunc(unreadInterval, func() { s.Tell(core.RefusedUnread{Requests: s.unread.take()}) })
 	}
 }
--- a/scheduler/unread_test.go
+++ b/scheduler/unread_test.go
@@ -21,7 +21,7 @@
 		s := New(member.Member{}, zerolog.Nop(), telemetry.NewMetrics())
 		const refused = 3000
 		for i := range refused {
-			s.TurnAway(core.Unread{Account: 7})
+			s.TurnAway(core.UnreadRequest{Account: 7})
 			if i%100 == 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -30,7 +30,7 @@
 		synctest.Wait()
 		events, reported := len(s.events), 0
 		for range events {
-			reported += len((<-s.events).event.(core.TurnedAway).Requests)
+			reported += len((<-s.events).event.(core.RefusedUnread).Requests)
 		}
 		is.Equal(reported, refused)
 		is.True(events <= 3)
