--- a/blame/blame.go
+++ b/blame/blame.go
@@ -16,8 +16,8 @@
 
 // Decisions receives the events of this package and reports which accounts have suspect requests.
 type Decisions interface {
-	Suspects(model.AccountID) bool
-	Tell(core.Event)
+	HasSuspects(model.AccountID) bool
+	Enqueue(core.Event)
 }
 
 // Servers reports whether the backend server at an IP and port has ended.
@@ -57,7 +57,7 @@
 // Suspect returns the request's fingerprint if its account has suspect requests, and 0 otherwise, as the
 // fingerprint isn't needed then.
 func (c *Case) Suspect() model.Fingerprint {
-	if !c.tracker.Decisions.Suspects(c.account) {
+	if !c.tracker.Decisions.HasSuspects(c.account) {
 		return 0
 	}
 	return c.Fingerprint()
@@ -84,7 +84,7 @@
 		return false
 	}
 	c.tracker.Ended.Inc()
-	c.tracker.Decisions.Tell(core.ServerEnded{
+	c.tracker.Decisions.Enqueue(core.ServerEnded{
 		Fingerprint: c.Fingerprint(), Account: c.account, Backend: s.Backend, RunTime: ran, Begun: s.Begun,
 	})
 	return true
@@ -93,6 +93,6 @@
 // Answered reports to the scheduler that the request got a complete answer, if its account has suspect requests.
 func (c *Case) Answered() {
 	if f := c.Suspect(); f != 0 {
-		c.tracker.Decisions.Tell(core.Answered{Fingerprint: f})
+		c.tracker.Decisions.Enqueue(core.Answered{Fingerprint: f})
 	}
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -166,7 +166,7 @@
 // committer returns the address of the router that commits a shard, "" if that is this router.
 func (s *Service) committer(shard int) string {
 	var address string
-	s.scheduler.Look(func(c *core.Core) { address = c.Responsible("claims/" + strconv.Itoa(shard)) })
+	s.scheduler.Inspect(func(c *core.Core) { address = c.Responsible("claims/" + strconv.Itoa(shard)) })
 	return address
 }
 
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -183,7 +183,7 @@
 	r.scheduler.LimitCold(cold.Limits{Overshoot: s.ColdOvershoot, Slack: s.ColdSlack})
 	r.scheduler.LimitLoads(s.LoadsBytes)
 	if s.HallHomes {
-		r.scheduler.HomesInHalls()
+		r.scheduler.SetHomePerHall()
 	}
 	generations := generation.New(env.source, log, metrics.Platform)
 	adminService := admin.New(s.AdminListen, s.OperatorToken, metrics.Registry, r.isDraining)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -132,7 +132,7 @@
 // stop waits for the running requests to finish, and then stops the services.
 func (r *router) stop() error {
 	r.log.Info().Msg("draining")
-	r.scheduler.Tell(core.Drain{})
+	r.scheduler.Enqueue(core.Drain{})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(drainFraction*float64(r.drainTimeout)))
 	defer cancel()
 	r.callers.Drain(ctx)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -123,8 +123,8 @@
 	s.routers = routers
 	leaving := s.leaving(live)
 	s.mu.Unlock()
-	s.scheduler.Tell(core.Routers{Listed: listed})
-	s.scheduler.Tell(core.Leaving{Backends: leaving})
+	s.scheduler.Enqueue(core.Routers{Listed: listed})
+	s.scheduler.Enqueue(core.Leaving{Backends: leaving})
 }
 
 // leaving returns the backend servers that the list shows as leaving, or contained
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -72,7 +72,7 @@
 	if l.scheduler, err = kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName); err != nil {
 		return err
 	}
-	l.scheduler.Observe(scheduler.Observer{Loads: l.setBackends})
+	l.scheduler.Observe(scheduler.Observer{WatchLoads: l.setBackends})
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	l.cancel = cancel
 	go l.run(runCtx)
@@ -145,7 +145,7 @@
 	belowThreshold := load.Failed && l.failures[id] < failureThreshold
 	l.mu.Unlock()
 	if !belowThreshold {
-		l.scheduler.Tell(load)
+		l.scheduler.Enqueue(load)
 	}
 }
 
--- a/front/serve.go
+++ b/front/serve.go
@@ -112,7 +112,7 @@
 			if socket.Look(a.ctx.Conn()) != socket.Ended {
 				continue
 			}
-			a.scheduled.Abandon()
+			a.scheduled.Withdraw()
 			a.scheduled.Finish(0, core.Cancelled)
 			a.releaseClaim()
 			a.ctx.SetConnectionClose()
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -61,7 +61,7 @@
 func (p *admitter) recordDecision(now model.Time, account model.AccountID, t admission.Ticket, age time.Duration, d scheduler.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gate.Decided(now, t, admission.Decision{Took: age - d.Waited, Refused: !d.Dispatched, ValidFor: d.Holds})
+	p.gate.Decided(now, t, admission.Decision{Took: age - d.Waited, Refused: !d.Dispatched, ValidFor: d.ValidFor})
 	p.account(account).last = d
 	p.updateMetrics()
 }
@@ -121,7 +121,7 @@
 func (a *attempt) admissionRequest() admission.Request {
 	return admission.Request{
 		Account: a.account, Route: model.HashName(a.route.Name), DecisionBudget: a.decideWithin(),
-		Stream: a.route.Through.Streaming, Objective: a.route.Through.Objective, SchedulingDelay: a.service.scheduler.Late(),
+		Stream: a.route.Through.Streaming, Objective: a.route.Through.Objective, SchedulingDelay: a.service.scheduler.MeanLag(),
 		FirstOnConn: a.conn.writes.idle == 0,
 	}
 }
@@ -142,7 +142,7 @@
 	s := a.service
 	a.refused, a.shed = queueFull, true
 	s.metrics.Front.Unread.WithLabelValues(string(verdict.Reason)).Inc()
-	s.scheduler.TurnAway(core.UnreadRequest{
+	s.scheduler.ReportUnread(core.UnreadRequest{
 		Account: a.account, Pool: a.route.PoolFor(rand.Float64()),
 		Route: model.HashName(a.route.Name), Prompt: a.meta.Prompt,
 	})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -157,7 +157,7 @@
 // caller tries again, possibly at another router. A small overloaded router otherwise answered 404 for three seconds
 // after a route was in force on all others, because neither gossip datagrams nor store calls got through.
 func (a *attempt) confirmRefusal(r *refusal) *refusal {
-	if a.service.scheduler.StoreUnheard() > maxStoreSilence {
+	if a.service.scheduler.SinceStoreReached() > maxStoreSilence {
 		a.keepAlive = false // the next request may reach another router
 		return configUnconfirmed
 	}
@@ -227,7 +227,7 @@
 		}
 		a.handleRefusal(d)
 	case <-a.ctx.Done():
-		a.scheduled.Abandon()
+		a.scheduled.Withdraw()
 		a.scheduled.Finish(0, core.Cancelled)
 		a.endExpired(tooLate)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -127,7 +127,7 @@
 		Decisions: s.scheduler, Servers: s.back, Fingerprints: s.settings.Fingerprints, Ended: s.metrics.Front.Ended,
 	}
 	s.notices = notices.New(s.scheduler, s.clock, s.metrics.Front.Notices)
-	s.scheduler.Observe(scheduler.Observer{Slept: func(time.Duration) { s.inFlight.cancelExpired() }})
+	s.scheduler.Observe(scheduler.Observer{Suspended: func(time.Duration) { s.inFlight.cancelExpired() }})
 	// Keep-alive probes are not needed: the deadline of a request and the idle timeout detect vanished callers.
 	listen := net.ListenConfig{KeepAlive: -1}
 	listener, err := listen.Listen(ctx, "tcp", s.settings.Listen)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -130,7 +130,7 @@
 // size.
 func (r *relay) relayChunked(a *attempt, response *exchange.Answer, blocks net.Buffers, buffer []byte) error {
 	r.begun = true
-	a.scheduled.Began()
+	a.scheduled.ResponseBegan()
 	r.writeHead(a, response, chunked)
 	for _, block := range blocks {
 		if err := r.writeChunk(a, block); err != nil {
@@ -165,7 +165,7 @@
 			if !began {
 				began = true
 				a.firstPartAfter = a.service.clock.Since(a.began)
-				a.scheduled.Began()
+				a.scheduled.ResponseBegan()
 			}
 			r.parts++
 			a.service.work.add(workParts)
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -19,7 +19,7 @@
 
 // overloaded reports whether new requests are refused before they are parsed.
 func (s *Service) overloaded() bool {
-	return s.open.Load() > int64(s.settings.MaxRequests) || s.scheduler.Behind()
+	return s.open.Load() > int64(s.settings.MaxRequests) || s.scheduler.Overloaded()
 }
 
 // connectionsScarce reports whether so many caller connections are open that idle ones must be closed.
@@ -39,7 +39,7 @@
 }
 
 // logShed counts a caller that is refused because of overload, and logs at a limited rate.
-func (s *Service) logShed() { s.shedLog.logRejected(s.log, s.scheduler.Late(), s.open.Load()) }
+func (s *Service) logShed() { s.shedLog.logRejected(s.log, s.scheduler.MeanLag(), s.open.Load()) }
 
 // lingerConn is linger for a connection that may not support half-closing.
 func (s *Service) lingerConn(c net.Conn) {
--- a/generation/recovery_test.go
+++ b/generation/recovery_test.go
@@ -193,9 +193,9 @@
 	events   chan core.Event
 }
 
-func (l *singleCore) Tell(e core.Event)            { l.events <- e }
+func (l *singleCore) Enqueue(e core.Event)         { l.events <- e }
 func (l *singleCore) Observe(o scheduler.Observer) { l.observer = o }
-func (l *singleCore) Configure(c *config.InForce)  { l.Tell(core.Configure{Config: c.Core}) }
+func (l *singleCore) Configure(c *config.InForce)  { l.Enqueue(core.Configure{Config: c.Core}) }
 
 // run steps the core with events and time until ctx ends.
 func (l *singleCore) run(ctx context.Context) {
@@ -218,11 +218,11 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case core.WatchStore:
-			l.observer.Store(a.Watch)
+			l.observer.WatchStore(a.Watch)
 		case core.ContactStore:
-			l.observer.Contact()
+			l.observer.ContactStore()
 		case core.StoreReturned:
-			l.observer.Returned()
+			l.observer.StoreReturned()
 		}
 	}
 }
--- a/generation/watch.go
+++ b/generation/watch.go
@@ -32,7 +32,7 @@
 			s.metrics.StoreFailures.WithLabelValues("ping").Inc()
 		}
 		s.logContact(began, err)
-		s.scheduler.Tell(core.StoreContacted{Reached: err == nil})
+		s.scheduler.Enqueue(core.StoreContacted{Reached: err == nil})
 	}()
 }
 
--- a/heldstore/heldstore.go
+++ b/heldstore/heldstore.go
@@ -44,7 +44,7 @@
 
 // Scheduler receives the content of the store, and sends changes to its observer.
 type Scheduler interface {
-	Tell(core.Event)
+	Enqueue(core.Event)
 	Observe(scheduler.Observer)
 }
 
@@ -89,7 +89,7 @@
 func (s *Service) begin(ctx context.Context, sched Scheduler) {
 	s.scheduler = sched
 	s.run, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	sched.Observe(scheduler.Observer{Held: s.enqueue, Try: s.try})
+	sched.Observe(scheduler.Observer{HeldChanged: s.enqueue, RequestTry: s.try})
 	go s.loop(s.run)
 }
 
@@ -140,7 +140,7 @@
 		if err == nil {
 			if held := s.decode(v); len(held.Suspicions) > 0 {
 				s.log.Info().Int("requests", len(held.Suspicions)).Msg("held-back requests read from the store")
-				s.scheduler.Tell(core.HeldRequestsLoaded{Suspicions: held.Suspicions})
+				s.scheduler.Enqueue(core.HeldRequestsLoaded{Suspicions: held.Suspicions})
 			}
 			return v
 		}
--- a/heldstore/heldstore_test.go
+++ b/heldstore/heldstore_test.go
@@ -78,7 +78,7 @@
 
 func (d *fakeScheduler) Observe(o scheduler.Observer) { d.observer = o }
 
-func (d *fakeScheduler) Tell(e core.Event) {
+func (d *fakeScheduler) Enqueue(e core.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch e := e.(type) {
@@ -98,7 +98,7 @@
 }
 
 func (d *fakeScheduler) change(held bool, fingerprint uint64) {
-	d.observer.Held(core.HeldChanged{Held: held, Seen: true, Suspicion: &wire.Suspicion{
+	d.observer.HeldChanged(core.HeldChanged{Held: held, Seen: true, Suspicion: &wire.Suspicion{
 		Fingerprint: fingerprint, Backends: []uint32{1, 2}, EndedMs: []uint32{3, 4}, RanUs: []uint32{5, 6}, Marks: []uint32{0, 1},
 	}})
 }
--- a/heldstore/tries.go
+++ b/heldstore/tries.go
@@ -29,7 +29,7 @@
 	s.claims.Go(func() {
 		ctx, cancel := context.WithTimeout(s.run, claimTimeout)
 		defer cancel()
-		s.scheduler.Tell(core.TryAnswered{ID: a.ID, Granted: s.claim(ctx, a.Fingerprint)})
+		s.scheduler.Enqueue(core.TryAnswered{ID: a.ID, Granted: s.claim(ctx, a.Fingerprint)})
 	})
 }
 
--- a/heldstore/tries_test.go
+++ b/heldstore/tries_test.go
@@ -72,7 +72,7 @@
 	d.mu.Lock()
 	d.answers = nil
 	d.mu.Unlock()
-	d.observer.Try(core.RequestTry{ID: 1, Fingerprint: f})
+	d.observer.RequestTry(core.RequestTry{ID: 1, Fingerprint: f})
 }
 
 // mayTry reports whether the requested try was granted. Exactly one response must have arrived.
--- a/notices/notices.go
+++ b/notices/notices.go
@@ -19,7 +19,7 @@
 
 // Decisions receives the notices as events.
 type Decisions interface {
-	Tell(core.Event)
+	Enqueue(core.Event)
 }
 
 // Board holds the notices that a router has received.
@@ -49,7 +49,7 @@
 	if n.Rest > 0 {
 		b.counter.WithLabelValues("rest").Inc()
 	}
-	b.decisions.Tell(core.NoticeReceived{Backend: id, Notice: n})
+	b.decisions.Enqueue(core.NoticeReceived{Backend: id, Notice: n})
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.book.Record(b.clock.Now(), id, n)
--- a/scheduler/afterstart_test.go
+++ b/scheduler/afterstart_test.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	time.Sleep(100 * time.Millisecond)
-	s.Observe(Observer{Store: func(watch bool) { o.watch <- watch }, Contact: func() { o.contact <- struct{}{} }})
+	s.Observe(Observer{WatchStore: func(watch bool) { o.watch <- watch }, ContactStore: func() { o.contact <- struct{}{} }})
 	return nil
 }
 
--- a/scheduler/observer.go
+++ b/scheduler/observer.go
@@ -11,24 +11,24 @@
 // any of which may be nil, are called from the core's goroutine and must not
 // block.
 type Observer struct {
-	// Loads receives the backend servers whose load is to be polled.
-	Loads func(backends []model.BackendID)
-	// Generation receives a router that has a newer generation in force.
-	Generation func(core.NewerVersionSeen)
-	// Store receives whether the store is to be watched.
-	Store func(watch bool)
-	// Returned is called when the store answers again: pending calls may never be answered, new
+	// WatchLoads receives the backend servers whose load is to be polled.
+	WatchLoads func(backends []model.BackendID)
+	// NewerVersion receives a router that has a newer generation in force.
+	NewerVersion func(core.NewerVersionSeen)
+	// WatchStore receives whether the store is to be watched.
+	WatchStore func(watch bool)
+	// StoreReturned is called when the store answers again: pending calls may never be answered, new
 	// ones are.
-	Returned func()
-	// Contact requests a call of the store; the result is sent to the core as core.StoreContacted.
-	Contact func()
-	// Slept receives how long the VM was suspended, after the core's time has been advanced by that.
-	Slept func(time.Duration)
-	// Held receives each change of whether a request is held back, and each failed try of one.
-	Held func(core.HeldChanged)
-	// Try requests permission for a try of a held-back request; the result is sent to the core as core.TryAnswered. If no
+	StoreReturned func()
+	// ContactStore requests a call of the store; the result is sent to the core as core.StoreContacted.
+	ContactStore func()
+	// Suspended receives how long the VM was suspended, after the core's time has been advanced by that.
+	Suspended func(time.Duration)
+	// HeldChanged receives each change of whether a request is held back, and each failed try of one.
+	HeldChanged func(core.HeldChanged)
+	// RequestTry requests permission for a try of a held-back request; the result is sent to the core as core.TryAnswered. If no
 	// observer has it, each router decides on its own.
-	Try func(core.RequestTry)
+	RequestTry func(core.RequestTry)
 }
 
 // Observe adds an observer. It must be called before the core processes events.
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -21,36 +21,36 @@
 	s.waiters[a.ID] = r.Decisions
 	s.mu.Unlock()
 	a.Lag = s.lag.answerDelay()
-	s.Tell(a)
+	s.Enqueue(a)
 	return r
 }
 
 // Progress reports the number of tokens of output delivered so far.
 func (r *Request) Progress(output float64) {
-	r.service.Tell(core.Progress{ID: r.id, Output: output})
+	r.service.Enqueue(core.Progress{ID: r.id, Output: output})
 }
 
-// Began reports that the answer has begun.
-func (r *Request) Began() {
-	r.service.Tell(core.Began{ID: r.id})
+// ResponseBegan reports that the answer has begun.
+func (r *Request) ResponseBegan() {
+	r.service.Enqueue(core.Began{ID: r.id})
 }
 
 // Retry returns the request to the core after no part of it was sent. Another decision
 // follows.
 func (r *Request) Retry() {
-	r.service.Tell(core.Finish{ID: r.id, Ending: core.NotSent})
+	r.service.Enqueue(core.Finish{ID: r.id, Ending: core.NotSent})
 }
 
 // Finish reports the end of the request, with its tokens of output.
 func (r *Request) Finish(output float64, ending core.Ending) {
 	r.removeWaiter()
-	r.service.Tell(core.Finish{ID: r.id, Output: output, Ending: ending})
+	r.service.Enqueue(core.Finish{ID: r.id, Output: output, Ending: ending})
 }
 
-// Abandon withdraws a waiting request.
-func (r *Request) Abandon() {
+// Withdraw withdraws a waiting request.
+func (r *Request) Withdraw() {
 	r.removeWaiter()
-	r.service.Tell(core.Abandon{ID: r.id})
+	r.service.Enqueue(core.Abandon{ID: r.id})
 }
 
 func (r *Request) removeWaiter() {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -39,8 +39,8 @@
 	Waited     time.Duration
 	Refusal    core.Refusal
 	RetryAfter time.Duration
-	// Holds is how long the reason for a refusal is expected to apply to other requests of the account and route.
-	Holds time.Duration
+	// ValidFor is how long the reason for a refusal is expected to apply to other requests of the account and route.
+	ValidFor time.Duration
 
 	Basis prompt.Basis // reason for the decision, if the policy decides by prompt
 	// CopyFrom is the backend server to copy parts of the prompt from, 0 for none.
@@ -95,9 +95,9 @@
 // may be loaded. It must be called before Start.
 func (s *Service) LimitCold(limits cold.Limits) { s.cold = limits }
 
-// AssignHomesPerDataHall gives prompts that share parts a home in each data hall, instead of one in the
+// SetHomePerHall gives prompts that share parts a home in each data hall, instead of one in the
 // fleet. It must be called before Start.
-func (s *Service) HomesInHalls() { s.homePerHall = true }
+func (s *Service) SetHomePerHall() { s.homePerHall = true }
 
 // LimitLoads sets the bandwidth, in bytes per second, of the load reports sent to each router.
 // It must be called before Start.
@@ -136,7 +136,7 @@
 	}
 	s.peers = peers
 	s.ctx, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	peers.OnDatagram(func(d *wire.Datagram) { s.Tell(core.Receive{Datagram: d}) })
+	peers.OnDatagram(func(d *wire.Datagram) { s.Enqueue(core.Receive{Datagram: d}) })
 	return nil
 }
 
@@ -161,33 +161,35 @@
 
 var _ kernel.AfterStarter = (*Service)(nil)
 
-// Tell queues an event for the core. It blocks while the queue is full.
-func (s *Service) Tell(e core.Event) {
+// Enqueue queues an event for the core. It blocks while the queue is full.
+func (s *Service) Enqueue(e core.Event) {
 	select {
 	case s.events <- queuedEvent{e, s.now()}:
 	case <-s.done:
 	}
 }
 
-// Behind reports whether this process is overloaded: many events are queued, or its
+// Overloaded reports whether this process is overloaded: many events are queued, or its
 // mean lag is large.
-func (s *Service) Behind() bool {
+func (s *Service) Overloaded() bool {
 	return len(s.events) > behindQueue || s.lag.behind()
 }
 
-// Late returns the mean delay with which this process handles timers and events.
-func (s *Service) Late() time.Duration { return time.Duration(s.lag.mean.Load()) }
+// MeanLag returns the mean delay with which this process handles timers and events.
+func (s *Service) MeanLag() time.Duration { return time.Duration(s.lag.mean.Load()) }
 
 // behindQueue is the number of queued events above which the process counts as behind.
 const behindQueue = 200
 
-// StoreUnheard returns the time since a router that watches the store last reached it, according to the reports received.
+// SinceStoreReached returns the time since a router that watches the store last reached it, according to the reports received.
 // Later writes of the operators may not have been received.
-func (s *Service) StoreUnheard() time.Duration { return s.now() - model.Time(s.storeReached.Load()) }
+func (s *Service) SinceStoreReached() time.Duration {
+	return s.now() - model.Time(s.storeReached.Load())
+}
 
-// Look calls a function with the core, between two events, and waits for its return. The
+// Inspect calls a function with the core, between two events, and waits for its return. The
 // function must only read.
-func (s *Service) Look(read func(*core.Core)) {
+func (s *Service) Inspect(read func(*core.Core)) {
 	done := make(chan struct{})
 	select {
 	case s.reads <- func(c *core.Core) { read(c); close(done) }:
@@ -198,7 +200,7 @@
 
 // Configure puts a configuration in force.
 func (s *Service) Configure(c *config.InForce) {
-	s.Tell(core.Configure{Config: c.Core})
+	s.Enqueue(core.Configure{Config: c.Core})
 }
 
 // now returns the time since New, including times at which the VM was suspended.
@@ -213,8 +215,8 @@
 	}
 	s.log.Warn().Dur("slept_ms", slept).Msg("the machine was suspended")
 	s.eachObserver(func(o Observer) {
-		if o.Slept != nil {
-			o.Slept(slept)
+		if o.Suspended != nil {
+			o.Suspended(slept)
 		}
 	})
 }
@@ -287,32 +289,32 @@
 			CopyFrom: a.CopyFrom, Copied: a.Copied,
 		})
 	case core.Refuse:
-		s.deliver(a.ID, Decision{Refusal: a.Reason, RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis, Holds: a.ValidFor})
+		s.deliver(a.ID, Decision{Refusal: a.Reason, RetryAfter: a.RetryAfter, Waited: a.Waited, Basis: a.Basis, ValidFor: a.ValidFor})
 	case core.Send:
 		s.send(a)
 	case core.Watch:
 		s.metrics.Share.Owned.Set(float64(len(a.Backends)))
 		s.eachObserver(func(o Observer) {
-			if o.Loads != nil {
-				o.Loads(a.Backends)
+			if o.WatchLoads != nil {
+				o.WatchLoads(a.Backends)
 			}
 		})
 	case core.WatchStore:
 		s.log.Info().Bool("watch", a.Watch).Bool("chosen", a.Chosen).Dur("unreached_ms", a.Unreached).Msg("watching the store changed")
 		s.eachObserver(func(o Observer) {
-			if o.Store != nil {
-				o.Store(a.Watch)
+			if o.WatchStore != nil {
+				o.WatchStore(a.Watch)
 			}
 		})
 	case core.StoreReturned:
 		s.log.Info().Dur("silent_ms", a.Silent).Msg("the store answers again")
-		s.notify(func(o Observer) func() { return o.Returned })
+		s.notify(func(o Observer) func() { return o.StoreReturned })
 	case core.ContactStore:
-		s.notify(func(o Observer) func() { return o.Contact })
+		s.notify(func(o Observer) func() { return o.ContactStore })
 	case core.NewerVersionSeen:
 		s.eachObserver(func(o Observer) {
-			if o.Generation != nil {
-				o.Generation(a)
+			if o.NewerVersion != nil {
+				o.NewerVersion(a)
 			}
 		})
 	case core.SuspectedAccounts:
--- a/scheduler/suspected.go
+++ b/scheduler/suspected.go
@@ -5,9 +5,9 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Suspects reports whether an account has suspected requests. Only then are its requests
+// HasSuspects reports whether an account has suspected requests. Only then are its requests
 // fingerprinted, which saves the cost for all other accounts.
-func (s *Service) Suspects(account model.AccountID) bool {
+func (s *Service) HasSuspects(account model.AccountID) bool {
 	accounts := s.suspectedAccounts.Load()
 	return accounts != nil && (*accounts)[account]
 }
@@ -24,8 +24,8 @@
 func (s *Service) reportHeld(a core.HeldChanged) {
 	s.logHeld(a)
 	s.eachObserver(func(o Observer) {
-		if o.Held != nil {
-			o.Held(a)
+		if o.HeldChanged != nil {
+			o.HeldChanged(a)
 		}
 	})
 }
@@ -38,8 +38,8 @@
 	}
 	s.mu.Unlock()
 	s.eachObserver(func(o Observer) {
-		if o.Try != nil {
-			o.Try(a)
+		if o.RequestTry != nil {
+			o.RequestTry(a)
 		}
 	})
 }
@@ -47,7 +47,7 @@
 // hasTryObserver reports whether an observer grants tries.
 func (s *Service) hasTryObserver() bool {
 	found := false
-	s.eachObserver(func(o Observer) { found = found || o.Try != nil })
+	s.eachObserver(func(o Observer) { found = found || o.RequestTry != nil })
 	return found
 }
 
--- a/scheduler/suspected_test.go
+++ b/scheduler/suspected_test.go
@@ -27,6 +27,6 @@
 	}
 	abandoned := s.Submit(core.Arrive{})
 	s.requestTry(core.RequestTry{ID: abandoned.id})
-	abandoned.Abandon()
+	abandoned.Withdraw()
 	is.Equal(len(s.tryRequested), 0)
 }
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -21,7 +21,7 @@
 	s.clock = clock.New(func() time.Duration { return awake }, func() (time.Duration, error) { return awake + asleep, nil })
 	s.epoch = s.clock.Now()
 	var slept []time.Duration
-	s.Observe(Observer{Slept: func(duration time.Duration) { slept = append(slept, duration) }})
+	s.Observe(Observer{Suspended: func(duration time.Duration) { slept = append(slept, duration) }})
 	awake += time.Second
 	s.checkSuspension()
 	is.Equal(s.now(), time.Second)
--- a/scheduler/unread.go
+++ b/scheduler/unread.go
@@ -35,9 +35,9 @@
 	return out
 }
 
-// TurnAway reports a request that was refused without a decision of the core.
-func (s *Service) TurnAway(r core.UnreadRequest) {
+// ReportUnread reports a request that was refused without a decision of the core.
+func (s *Service) ReportUnread(r core.UnreadRequest) {
 	if s.unread.add(r) {
-		time.AfterFunc(unreadInterval, func() { s.Tell(core.RefusedUnread{Requests: s.unread.take()}) })
+		time.AfterFunc(unreadInterval, func() { s.Enqueue(core.RefusedUnread{Requests: s.unread.take()}) })
 	}
 }
--- a/scheduler/unread_test.go
+++ b/scheduler/unread_test.go
@@ -21,7 +21,7 @@
 		s := New(member.Member{}, zerolog.Nop(), telemetry.NewMetrics())
 		const refused = 3000
 		for i := range refused {
-			s.TurnAway(core.UnreadRequest{Account: 7})
+			s.ReportUnread(core.UnreadRequest{Account: 7})
 			if i%100 == 0 {
 				time.Sleep(time.Millisecond)
 			}
--- a/status/status.go
+++ b/status/status.go
@@ -98,7 +98,7 @@
 // Status implements wire.DRPCPeerServer.
 func (s *Service) Status(context.Context, *wire.StatusRequest) (*wire.StatusResponse, error) {
 	out := &wire.StatusResponse{Ready: s.generations.Ready()}
-	s.scheduler.Look(func(c *core.Core) { c.View(out) })
+	s.scheduler.Inspect(func(c *core.Core) { c.View(out) })
 	return out, nil
 }
 
@@ -116,7 +116,7 @@
 		return nil
 	}
 	var address string
-	s.scheduler.Look(func(c *core.Core) { address = c.Address(name) })
+	s.scheduler.Inspect(func(c *core.Core) { address = c.Address(name) })
 	if address == "" {
 		return peer.Unreached.New("no live router is named %q", name)
 	}
@@ -289,7 +289,7 @@
 }
 
 // Release clears the record of backend servers ended by a request, at all routers.
-func (s *Service) Release(f model.Fingerprint) { s.scheduler.Tell(core.Answered{Fingerprint: f}) }
+func (s *Service) Release(f model.Fingerprint) { s.scheduler.Enqueue(core.Answered{Fingerprint: f}) }
 
 // sumAccounts adds up the figures of each account at the routers. The virtual service is that of the
 // whole fleet, and the highest value is the most recent.
