--- a/daemon/build.go
+++ b/daemon/build.go
@@ -144,10 +144,10 @@
 		key:     string(key.Data),
 		callers: gateway.New(gateway.Settings{
 			Listen: s.CallerListen, DataHall: s.DataHall, Dialect: platform.Dialect{}, MaxRequests: int(s.MemoryMB * requestsPerMB),
-			MaxConns: int((s.Files - reservedFiles) * callersFraction), TurnAways: s.Processor * refusalsPerCore,
+			MaxConns: int((s.Files - reservedFiles) * callersFraction), RejectRate: s.Processor * refusalsPerCore,
 			Processor:    s.Processor,
-			WriteStall:   s.CallerStall,
-			HeldBytes:    int(s.MemoryMB * heldFraction * bytesPerMB),
+			WriteTimeout: s.CallerStall,
+			MemoryLimit:  int(s.MemoryMB * heldFraction * bytesPerMB),
 			Fingerprints: maker,
 		}, log, metrics),
 		leave: routers.Leave,
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -32,7 +32,7 @@
 	service     *Service
 	conn        *callerConn
 	req         *fasthttp.Request
-	meta        Meta
+	meta        RequestMeta
 	route       *config.CompiledRoute
 	account     model.AccountID
 	accountName string
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -13,15 +13,15 @@
 // servers exchange.
 type Dialect interface {
 	// Request reads the metadata from a caller's request header; the error describes invalid metadata.
-	Request(h *fasthttp.RequestHeader) (Meta, error)
+	Request(h *fasthttp.RequestHeader) (RequestMeta, error)
 	// Forward changes the header of a caller's request into the one sent to a backend server.
 	Forward(h *fasthttp.RequestHeader, f Forward)
-	// Answer reads the metadata from a backend server's response header.
-	Answer(h *fasthttp.ResponseHeader) AnswerMeta
+	// Response reads the metadata from a backend server's response header.
+	Response(h *fasthttp.ResponseHeader) ResponseMeta
 }
 
-// Meta is the metadata of a caller's request.
-type Meta struct {
+// RequestMeta is the metadata of a caller's request.
+type RequestMeta struct {
 	ID       string
 	Key      string        // the client account's key, "" for none
 	TimeLeft time.Duration // how long the caller waits, 0 if not specified
@@ -40,13 +40,13 @@
 	CopyFrom string
 }
 
-// AnswerMeta is the metadata of a backend server's response.
-type AnswerMeta struct {
+// ResponseMeta is the metadata of a backend server's response.
+type ResponseMeta struct {
 	ID string // of the request that it answers
 	// NotRun reports that the request was not run.
 	NotRun bool
 	// Notice is the backend server's notice about its own state.
 	Notice notice.Notice
-	// Problem is the error from reading the notice, nil if there is none.
-	Problem error
+	// NoticeErr is the error from reading the notice, nil if there is none.
+	NoticeErr error
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -56,15 +56,15 @@
 	// closed after their responses: callers keep idle connections open for many seconds, and those of an account that
 	// is refused often would use up the limit.
 	MaxConns int
-	// TurnAways is the maximum number of connections rejected per second, 0 for no limit. Further connections wait in
+	// RejectRate is the maximum number of connections rejected per second, 0 for no limit. Further connections wait in
 	// the listen queue, so that rejecting them does not delay other work.
-	TurnAways float64
+	RejectRate float64
 	// Processor is this router's share of a processor core, 0 for no limit.
 	Processor float64
-	// HeldBytes limits the memory for request and response bodies, 0 for no limit.
-	HeldBytes int
-	// WriteStall is how long the write of a response may make no progress.
-	WriteStall time.Duration
+	// MemoryLimit limits the memory for request and response bodies, 0 for no limit.
+	MemoryLimit int
+	// WriteTimeout is how long the write of a response may make no progress.
+	WriteTimeout time.Duration
 	// Fingerprints computes the fingerprints of requests, with the same results on all routers.
 	Fingerprints fingerprint.Maker
 }
@@ -103,7 +103,7 @@
 
 // New returns a Service with the given settings.
 func New(settings Settings, log zerolog.Logger, metrics *telemetry.Metrics) *Service {
-	return &Service{settings: settings, log: log, metrics: metrics, conns: map[*callerConn]struct{}{}, shedLog: newLogLimiter(), clock: clock.System, inFlight: newInFlight(), admitter: newAdmitter(settings.Processor, metrics.Front), memory: newMemory(settings.HeldBytes, log, metrics.Front), stopWork: func() {}}
+	return &Service{settings: settings, log: log, metrics: metrics, conns: map[*callerConn]struct{}{}, shedLog: newLogLimiter(), clock: clock.System, inFlight: newInFlight(), admitter: newAdmitter(settings.Processor, metrics.Front), memory: newMemory(settings.MemoryLimit, log, metrics.Front), stopWork: func() {}}
 }
 
 // Name implements kernel.Service.
@@ -170,7 +170,7 @@
 // accept accepts connections until the listener is closed.
 func (s *Service) accept() {
 	defer s.running.Done()
-	rejections := newPacer(s.settings.TurnAways)
+	rejections := newPacer(s.settings.RejectRate)
 	for {
 		if s.screener != nil && !s.overloaded() && s.admitter.isRefusing(s.now()) {
 			if s.screener.acceptBatch() != nil {
@@ -211,7 +211,7 @@
 // serve serves one connection until it ends.
 func (s *Service) serve(raw net.Conn, admitted *admission.Ticket) {
 	defer s.running.Done()
-	c := newCallerConn(raw, limitsOf(s.generation.InForce()).HeaderBytes, s.settings.WriteStall)
+	c := newCallerConn(raw, limitsOf(s.generation.InForce()).HeaderBytes, s.settings.WriteTimeout)
 	c.admitted = admitted
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -30,7 +30,7 @@
 	is := is.New(t)
 	metrics := telemetry.NewMetrics()
 	const large = 100_000
-	s := New(Settings{MaxRequests: 10, HeldBytes: 3 * large}, zerolog.Nop(), metrics)
+	s := New(Settings{MaxRequests: 10, MemoryLimit: 3 * large}, zerolog.Nop(), metrics)
 	limits := config.CallerLimits{BodyBytes: 10 * large}
 	ours, theirs := net.Pipe()
 	conn := newCallerConn(ours, 4096, time.Second)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -88,7 +88,7 @@
 
 // isForOtherRequest reports whether a response names another request than this one.
 func (a *attempt) isForOtherRequest(h *fasthttp.ResponseHeader) bool {
-	id := a.service.settings.Dialect.Answer(h).ID
+	id := a.service.settings.Dialect.Response(h).ID
 	return id != "" && id != a.meta.ID
 }
 
@@ -132,7 +132,7 @@
 // receive handles the response of a backend server. It returns false if another decision is needed.
 func (a *attempt) receive(d scheduler.Decision, response *exchange.Answer) bool {
 	defer response.Close()
-	meta := a.service.settings.Dialect.Answer(&response.Header)
+	meta := a.service.settings.Dialect.Response(&response.Header)
 	if meta.ID == "" && response.StatusCode() < fasthttp.StatusBadRequest {
 		return a.handleFailure(d, errNoRequestID)
 	}
