--- a/back/back.go
+++ b/back/back.go
@@ -51,8 +51,8 @@
 
 // Send sends a request to the backend server at address, an IP and port. Once connected, it calls wanted and sends
 // nothing if that returns false. For its error exchange.NotSent reports whether no byte was written.
-func (s *Service) Send(ctx context.Context, address string, req *fasthttp.Request, wanted func() bool) (*exchange.Answer, error) {
-	return s.clients.Of(address).Do(ctx, req, exchange.Options{Patient: responseTimeout, Wanted: wanted})
+func (s *Service) Send(ctx context.Context, address string, req *fasthttp.Request, wanted func() bool) (*exchange.Response, error) {
+	return s.clients.For(address).Do(ctx, req, exchange.Options{Timeout: responseTimeout, Wanted: wanted})
 }
 
 // Run identifies one run of a backend server by its address, an IP and port, and its start time, 0 if unknown.
@@ -62,8 +62,8 @@
 }
 
 // Exchange sends a request to one run of a backend server, with the given options.
-func (s *Service) Exchange(ctx context.Context, to Run, req *fasthttp.Request, options exchange.Options) (*exchange.Answer, error) {
-	return s.clients.OfRun(to.Address, to.Born).Do(ctx, req, options)
+func (s *Service) Exchange(ctx context.Context, to Run, req *fasthttp.Request, options exchange.Options) (*exchange.Response, error) {
+	return s.clients.ForProcess(to.Address, to.Born).Do(ctx, req, options)
 }
 
 // probeTimeout is the time limit for probing a backend server whose response broke off. Without a listener on the port
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -122,7 +122,7 @@
 		if !ok {
 			continue
 		}
-		client := l.clients.Of(c.AddressOf(id))
+		client := l.clients.For(c.AddressOf(id))
 		polls.Go(func() {
 			load := pollBackend(ctx, client, c.Core.Pools[backend.Pool].FollowLoad)
 			l.report(ctx, id, load)
@@ -173,7 +173,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI(path)
 	req.Header.SetHost("backend")
-	response, err := client.Do(ctx, req, exchange.Options{Patient: loadTimeout})
+	response, err := client.Do(ctx, req, exchange.Options{Timeout: loadTimeout})
 	if err != nil {
 		return 0, nil, err
 	}
--- a/front/notice.go
+++ b/front/notice.go
@@ -11,7 +11,7 @@
 
 // recordRetryAfter records for how long an overloaded backend server wants no new requests. A backend server that is
 // leaving reports this through its health checks.
-func (a *attempt) recordRetryAfter(d scheduler.Decision, response *exchange.Answer) {
+func (a *attempt) recordRetryAfter(d scheduler.Decision, response *exchange.Response) {
 	after := response.Header.Peek(fasthttp.HeaderRetryAfter)
 	if response.StatusCode() != fasthttp.StatusServiceUnavailable || len(after) == 0 {
 		return
--- a/front/relay.go
+++ b/front/relay.go
@@ -79,7 +79,7 @@
 // relay reads a response from a backend server for a caller. Read returns io.EOF only at the end of a whole response;
 // any other error makes the HTTP server abort the connection, so that the caller sees that the response is truncated.
 type relay struct {
-	response      *exchange.Answer
+	response      *exchange.Response
 	head          []byte // already read
 	headErr       error  // the error after head
 	meter         meter
--- a/front/serve.go
+++ b/front/serve.go
@@ -236,7 +236,7 @@
 
 // relay relays the response to the caller. It returns false if the request waits again because the response failed
 // before any of it was relayed.
-func (a *attempt) relay(response *exchange.Answer) bool {
+func (a *attempt) relay(response *exchange.Response) bool {
 	events := strings.HasPrefix(string(response.Header.ContentType()), "text/event-stream")
 	r := &relay{response: response, meter: meter{events: events}, reported: time.Now(), progress: a.scheduled.Progress}
 	r.finish = a.finished
@@ -271,7 +271,7 @@
 	return true
 }
 
-func (a *attempt) copyHead(response *exchange.Answer) {
+func (a *attempt) copyHead(response *exchange.Response) {
 	a.ctx.SetStatusCode(response.StatusCode())
 	a.ctx.SetContentType(string(response.Header.ContentType()))
 	if after := response.Header.Peek(fasthttp.HeaderRetryAfter); len(after) > 0 {
@@ -281,7 +281,7 @@
 
 // readHead reads the beginning of a response: the first part of an event stream, otherwise as much as there is, up to
 // size.
-func readHead(response *exchange.Answer, size int, events bool) ([]byte, error) {
+func readHead(response *exchange.Response, size int, events bool) ([]byte, error) {
 	buffer := make([]byte, 0, min(size, firstBuffer))
 	for len(buffer) < size {
 		if len(buffer) == cap(buffer) {
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -108,7 +108,7 @@
 
 // reserveResponse reserves memory for the body of a response and returns its maximum size; ok is false if there isn't
 // enough.
-func (a *attempt) reserveResponse(response *exchange.Answer) (limit int, ok bool) {
+func (a *attempt) reserveResponse(response *exchange.Response) (limit int, ok bool) {
 	a.resizeResponse(0) // of a previous send
 	limit = response.Header.ContentLength()
 	if limit < 0 || limit > maxBuffer {
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -44,7 +44,7 @@
 func (r *relay) canResume() bool { return !r.begun || r.events.resumable }
 
 // run relays one response, or what it adds to a truncated one.
-func (r *relay) run(a *attempt, response *exchange.Answer) error {
+func (r *relay) run(a *attempt, response *exchange.Response) error {
 	if a.route.Through.Streaming && response.StatusCode() == fasthttp.StatusOK {
 		return r.relayStream(a, response)
 	}
@@ -55,7 +55,7 @@
 }
 
 // relayWhole reads a response to its end before relaying it, if there is memory for it.
-func (r *relay) relayWhole(a *attempt, response *exchange.Answer) error {
+func (r *relay) relayWhole(a *attempt, response *exchange.Response) error {
 	expected, ok := a.reserveResponse(response)
 	if !ok {
 		return r.relayChunked(a, response, nil, make([]byte, relayBuffer))
@@ -84,7 +84,7 @@
 const blockSize = 32 << 10
 
 // readBlocks reads a response with an expected size, up to one byte more than maxBuffer.
-func readBlocks(response *exchange.Answer, expected int) (blocks net.Buffers, size int, err error) {
+func readBlocks(response *exchange.Response, expected int) (blocks net.Buffers, size int, err error) {
 	for size <= maxBuffer {
 		block := make([]byte, 0, blockFor(expected, size))
 		for len(block) < cap(block) {
@@ -128,7 +128,7 @@
 
 // relayChunked relays a response that isn't buffered whole: the blocks read so far, then parts of up to the buffer's
 // size.
-func (r *relay) relayChunked(a *attempt, response *exchange.Answer, blocks net.Buffers, buffer []byte) error {
+func (r *relay) relayChunked(a *attempt, response *exchange.Response, blocks net.Buffers, buffer []byte) error {
 	r.begun = true
 	a.scheduled.ResponseBegan()
 	r.writeHead(a, response, chunked)
@@ -153,7 +153,7 @@
 }
 
 // relayStream relays events as they arrive.
-func (r *relay) relayStream(a *attempt, response *exchange.Answer) error {
+func (r *relay) relayStream(a *attempt, response *exchange.Response) error {
 	r.events.resumable = a.route.Through.Resumable
 	r.events.begin(a.meta.LastEvent)
 	buffer := make([]byte, relayBuffer)
@@ -186,7 +186,7 @@
 }
 
 // writePart writes a part of a stream, preceded by the head if that hasn't been written yet.
-func (r *relay) writePart(a *attempt, response *exchange.Answer, part []byte) error {
+func (r *relay) writePart(a *attempt, response *exchange.Response, part []byte) error {
 	if len(part) == 0 {
 		return nil
 	}
@@ -233,7 +233,7 @@
 }
 
 // writeHead writes the head of the backend server's response.
-func (r *relay) writeHead(a *attempt, response *exchange.Answer, length int) {
+func (r *relay) writeHead(a *attempt, response *exchange.Response, length int) {
 	w := a.conn.writer
 	status := response.StatusCode()
 	_, _ = w.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + fasthttp.StatusMessage(status) + "\r\n")
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -31,7 +31,7 @@
 	defer client.Close()
 	req := &fasthttp.Request{}
 	req.Header.SetHost("h")
-	response, err := client.Do(t.Context(), req, exchange.Options{Patient: time.Minute})
+	response, err := client.Do(t.Context(), req, exchange.Options{Timeout: time.Minute})
 	is.NoErr(err)
 	defer response.Close()
 	metrics := telemetry.NewMetrics()
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -32,7 +32,7 @@
 	})
 	run := back.Run{Address: inForce.AddressOf(d.Backend), Born: backend.Born}
 	response, err := s.back.Exchange(a.ctx, run, req, exchange.Options{
-		Patient: a.silenceLimit(), Undelimited: true, Stable: true,
+		Timeout: a.silenceLimit(), AllowUndelimited: true, BodyStable: true,
 		Skip:   a.isForOtherRequest,
 		Wanted: func() bool { return a.isWanted() && s.notices.Takes(d.Backend) },
 	})
@@ -130,7 +130,7 @@
 }
 
 // receive handles the response of a backend server. It returns false if another decision is needed.
-func (a *attempt) receive(d scheduler.Decision, response *exchange.Answer) bool {
+func (a *attempt) receive(d scheduler.Decision, response *exchange.Response) bool {
 	defer response.Close()
 	meta := a.service.settings.Dialect.Response(&response.Header)
 	if meta.ID == "" && response.StatusCode() < fasthttp.StatusBadRequest {
--- a/internal/exchange/answer.go
+++ b/internal/exchange/answer.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Answer is a response whose head has been read; the body is read with Read. It must be closed.
-type Answer struct {
+// Response is a response whose head has been read; the body is read with Read. It must be closed.
+type Response struct {
 	*fasthttp.Response
 	client  *Client
 	conn    *conn
@@ -30,10 +30,10 @@
 const inlineBody = 2048
 
 // exchange writes the request and reads the head of the response.
-func (a *Answer) exchange(req *fasthttp.Request) error {
+func (a *Response) exchange(req *fasthttp.Request) error {
 	a.conn.wrote.Store(false)
-	a.conn.SetTimeout(a.options.Patient)
-	if err := a.conn.SetReadDeadline(time.Now().Add(a.options.Patient)); err != nil {
+	a.conn.SetTimeout(a.options.Timeout)
+	if err := a.conn.SetReadDeadline(time.Now().Add(a.options.Timeout)); err != nil {
 		return err
 	}
 	if err := a.write(req); err != nil {
@@ -47,12 +47,12 @@
 
 // write writes the request. A long one is written concurrently with reading, because a server may respond before it has
 // read all of it.
-func (a *Answer) write(req *fasthttp.Request) error {
+func (a *Response) write(req *fasthttp.Request) error {
 	if len(req.Body()) <= inlineBody {
 		return a.conn.writeAll(req)
 	}
 	own := &fasthttp.Request{}
-	if a.options.Stable {
+	if a.options.BodyStable {
 		req.Header.CopyTo(&own.Header)
 		own.SetBodyRaw(req.Body())
 	} else {
@@ -73,7 +73,7 @@
 }
 
 // readHead reads heads until there is a final one that belongs to the request.
-func (a *Answer) readHead() error {
+func (a *Response) readHead() error {
 	for skipped := 0; ; {
 		if err := a.Header.Read(a.conn.reader); err != nil {
 			return err
@@ -95,7 +95,7 @@
 }
 
 // skipBody discards the body of a response to an earlier request.
-func (a *Answer) skipBody() error {
+func (a *Response) skipBody() error {
 	if a.undelimited() {
 		return ErrUnmatchedResponse
 	}
@@ -108,7 +108,7 @@
 }
 
 // openBody prepares reading the body and checks whether the request has been written.
-func (a *Answer) openBody(req *fasthttp.Request) error {
+func (a *Response) openBody(req *fasthttp.Request) error {
 	if a.written != nil {
 		select {
 		case err := <-a.written:
@@ -121,17 +121,17 @@
 	if !req.Header.IsHead() {
 		a.body = a.bodyReader()
 	}
-	if a.body != nil && a.undelimited() && !a.options.Undelimited {
+	if a.body != nil && a.undelimited() && !a.options.AllowUndelimited {
 		return ErrUndelimited
 	}
 	return nil
 }
 
 // undelimited reports whether the body ends only with the connection.
-func (a *Answer) undelimited() bool { return a.Header.ContentLength() < -1 }
+func (a *Response) undelimited() bool { return a.Header.ContentLength() < -1 }
 
 // bodyReader returns a reader of the body, nil for no body.
-func (a *Answer) bodyReader() io.Reader {
+func (a *Response) bodyReader() io.Reader {
 	status := a.StatusCode()
 	if status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
 		return nil
@@ -149,12 +149,12 @@
 }
 
 // Read reads the body. It returns io.EOF only after the whole body has been read.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	if a.body == nil || a.ended {
 		a.ended = true
 		return 0, io.EOF
 	}
-	if err := a.conn.SetReadDeadline(time.Now().Add(a.options.Patient)); err != nil {
+	if err := a.conn.SetReadDeadline(time.Now().Add(a.options.Timeout)); err != nil {
 		return 0, err
 	}
 	n, err := a.body.Read(p)
@@ -164,7 +164,7 @@
 
 // Close ends the exchange. The connection is reused if the response was read to its end and closed otherwise, which
 // also signals the server to stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.conn == nil {
 		return
 	}
--- a/internal/exchange/clients.go
+++ b/internal/exchange/clients.go
@@ -19,17 +19,17 @@
 	return &Clients{dialTimeout: dialTimeout, clients: map[string]*Client{}, born: map[string]uint64{}}
 }
 
-// Of returns the Client for the server at an IP address and port.
-func (c *Clients) Of(address string) *Client {
+// For returns the Client for the server at an IP address and port.
+func (c *Clients) For(address string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.of(address)
 }
 
-// OfRun returns the Client for one process of the server at an IP address and port, identified by its start time, 0 if
+// ForProcess returns the Client for one process of the server at an IP address and port, identified by its start time, 0 if
 // unknown. Connections to another process aren't reused: after a network partition they may stay open without
 // delivering data.
-func (c *Clients) OfRun(address string, born uint64) *Client {
+func (c *Clients) ForProcess(address string, born uint64) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.born[address] != born {
@@ -40,7 +40,7 @@
 	return c.of(address)
 }
 
-// of is Of for a caller that holds the lock.
+// of is For for a caller that holds the lock.
 func (c *Clients) of(address string) *Client {
 	client := c.clients[address]
 	if client == nil {
--- a/internal/exchange/clients_test.go
+++ b/internal/exchange/clients_test.go
@@ -12,12 +12,12 @@
 func TestRestartedServerGetsNewConnections(t *testing.T) {
 	is := is.New(t)
 	clients := NewClients(time.Second)
-	silent := clients.Of("10.0.0.1:1")
-	is.Equal(clients.OfRun("10.0.0.1:1", 0), silent) // start time unknown
-	first := clients.OfRun("10.0.0.1:1", 50)
+	silent := clients.For("10.0.0.1:1")
+	is.Equal(clients.ForProcess("10.0.0.1:1", 0), silent) // start time unknown
+	first := clients.ForProcess("10.0.0.1:1", 50)
 	is.True(first != silent)
 	is.True(silent.closed)
-	is.Equal(clients.OfRun("10.0.0.1:1", 50), first)
-	is.True(clients.OfRun("10.0.0.1:1", 40) != first)
+	is.Equal(clients.ForProcess("10.0.0.1:1", 50), first)
+	is.True(clients.ForProcess("10.0.0.1:1", 40) != first)
 	is.True(first.closed)
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -105,13 +105,13 @@
 
 // Options control an exchange.
 type Options struct {
-	// Patient is the time limit of each wait for the server: for progress in writing the request, for the head of the
+	// Timeout is the time limit of each wait for the server: for progress in writing the request, for the head of the
 	// response, and for each part of its body.
-	Patient time.Duration
-	// Undelimited allows a response that ends with its connection. It is whole only if the connection ends in order.
-	Undelimited bool
-	// Stable promises that the request's body isn't modified or reused, so that it needn't be copied.
-	Stable bool
+	Timeout time.Duration
+	// AllowUndelimited allows a response that ends with its connection. It is whole only if the connection ends in order.
+	AllowUndelimited bool
+	// BodyStable promises that the request's body isn't modified or reused, so that it needn't be copied.
+	BodyStable bool
 	// Skip reports whether the head of a response belongs to an earlier request; such a response is discarded. nil
 	// discards none.
 	Skip func(*fasthttp.ResponseHeader) bool
@@ -128,7 +128,7 @@
 
 // Do writes the request and reads the head of the response. When ctx is done, the exchange is aborted by closing its
 // connection.
-func (c *Client) Do(ctx context.Context, req *fasthttp.Request, options Options) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, req *fasthttp.Request, options Options) (*Response, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return nil, &Error{Err: err}
@@ -138,7 +138,7 @@
 		return nil, &Error{Err: errUnwanted}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	response := &Answer{Response: fasthttp.AcquireResponse(), client: c, conn: conn, options: options, stop: stop}
+	response := &Response{Response: fasthttp.AcquireResponse(), client: c, conn: conn, options: options, stop: stop}
 	if err := response.exchange(req); err != nil {
 		stop()
 		_ = conn.Close()
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -63,7 +63,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("/")
 	req.Header.SetHost("server")
-	a, err := c.Do(context.Background(), req, Options{Patient: timeout})
+	a, err := c.Do(context.Background(), req, Options{Timeout: timeout})
 	if err != nil {
 		return err
 	}
--- a/store/etcd.go
+++ b/store/etcd.go
@@ -191,7 +191,7 @@
 	return nil
 }
 
-func (s *Etcd) post(ctx context.Context, path string, in any, timeout time.Duration) (*exchange.Answer, error) {
+func (s *Etcd) post(ctx context.Context, path string, in any, timeout time.Duration) (*exchange.Response, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return nil, &exchange.Error{Err: err}
@@ -203,5 +203,5 @@
 	req.Header.SetHost("store")
 	req.Header.SetContentType("application/json")
 	req.SetBody(body)
-	return s.client.Do(ctx, req, exchange.Options{Patient: timeout})
+	return s.client.Do(ctx, req, exchange.Options{Timeout: timeout})
 }
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -66,7 +66,7 @@
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("/vms")
 	req.Header.SetHost("vmlist")
-	response, err := l.client.Do(ctx, req, exchange.Options{Patient: callTimeout})
+	response, err := l.client.Do(ctx, req, exchange.Options{Timeout: callTimeout})
 	if err != nil {
 		return nil, Unavailable.Wrap(err, "no response to the request for the VM list")
 	}
