--- a/front/serve.go
+++ b/front/serve.go
@@ -109,7 +109,7 @@
 		case d := <-a.scheduled.Decisions:
 			return d, false
 		case <-ticker.C:
-			if socket.Look(a.ctx.Conn()) != socket.Ended {
+			if socket.StateOf(a.ctx.Conn()) != socket.Closed {
 				continue
 			}
 			a.scheduled.Withdraw()
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -116,7 +116,7 @@
 
 // hasLeft reports whether the caller has closed its connection. A router that reads a request late finds the end of the
 // connection already there; watch, which runs concurrently with scheduling, would report it too late.
-func (c *callerConn) hasLeft() bool { return socket.Look(c.Conn) == socket.Ended }
+func (c *callerConn) hasLeft() bool { return socket.StateOf(c.Conn) == socket.Closed }
 
 // watch calls left if the caller closes its connection, until stop is called. Nothing else reads from the connection
 // while a request is served.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	s.listener = socket.Patient{Listener: listener}
+	s.listener = socket.RetryListener{Listener: listener}
 	if s.screener, err = newScreener(s, listener); err != nil {
 		return errors.Join(err, listener.Close())
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -177,7 +177,7 @@
 // unexpected bytes must not be reused.
 func (c *conn) usable() bool {
 	fresh := clock.System.Since(c.idleSince) <= c.idleLimit && c.reader.Buffered() == 0
-	return fresh && socket.Look(c.Conn) == socket.Idle
+	return fresh && socket.StateOf(c.Conn) == socket.Idle
 }
 
 func (c *Client) takeIdle() *conn {
--- a/internal/socket/acceptor_test.go
+++ b/internal/socket/acceptor_test.go
@@ -94,7 +94,7 @@
 	_, err = io.ReadFull(c, text)
 	is.NoErr(err)
 	is.Equal(string(text), "firstsecond")
-	is.Equal(Look(c), Idle)
+	is.Equal(StateOf(c), Idle)
 	is.NoErr(c.SetReadDeadline(time.Now().Add(time.Millisecond)))
 	_, err = c.Read(text)
 	is.True(errors.Is(err, os.ErrDeadlineExceeded))
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -9,12 +9,12 @@
 // acceptRetryDelay is the delay after a failure to accept a connection.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// Patient is a listener that retries when accepting a connection fails. Servers that stop at the first failure accept
+// RetryListener is a listener that retries when accepting a connection fails. Servers that stop at the first failure accept
 // no more connections once the process has run out of file descriptors for a moment.
-type Patient struct{ net.Listener }
+type RetryListener struct{ net.Listener }
 
 // Accept implements net.Listener. It fails only once the listener is closed.
-func (l Patient) Accept() (net.Conn, error) {
+func (l RetryListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
--- a/internal/socket/listen_test.go
+++ b/internal/socket/listen_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l := Patient{&failing{Listener: raw, failures: 3}}
+	l := RetryListener{&failing{Listener: raw, failures: 3}}
 	out, err := net.Dial("tcp", raw.Addr().String())
 	is.NoErr(err)
 	defer func() { _ = out.Close() }()
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -31,20 +31,20 @@
 const (
 	Idle     State = iota // open, without unread data
 	Readable              // open, with unread data
-	Ended                 // closed by the other side, or failed
+	Closed                // closed by the other side, or failed
 )
 
-// Look returns the state of a TCP connection, Ended if it can't be determined.
-func Look(c net.Conn) State {
+// StateOf returns the state of a TCP connection, Closed if it can't be determined.
+func StateOf(c net.Conn) State {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
-		return Ended
+		return Closed
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	state := Ended
+	state := Closed
 	// Read would wait for a concurrent read by another goroutine.
 	err = control.Control(func(fd uintptr) {
 		var b [1]byte
@@ -57,7 +57,7 @@
 		}
 	})
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
--- a/internal/standin/users/pace.go
+++ b/internal/standin/users/pace.go
@@ -74,7 +74,7 @@
 func (c *Caller) SetDeadline(t time.Time) error { return c.conn.SetDeadline(t) }
 
 // Ended reports whether the router has closed the connection.
-func (c *Caller) Ended() bool { return socket.Look(c.conn) == socket.Ended }
+func (c *Caller) Ended() bool { return socket.StateOf(c.conn) == socket.Closed }
 
 // CloseWrite closes the sending side of the connection.
 func (c *Caller) CloseWrite() error { return c.conn.(*net.TCPConn).CloseWrite() }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -225,7 +225,7 @@
 // acceptCalls serves the other routers' calls.
 func (s *Service) acceptCalls(ctx context.Context) {
 	defer s.ended.Done()
-	listener := socket.Patient{Listener: s.callListener}
+	listener := socket.RetryListener{Listener: s.callListener}
 	for {
 		c, err := listener.Accept()
 		if err != nil {
