--- a/front/front.go
+++ b/front/front.go
@@ -116,7 +116,7 @@
 	s.claims, failures[2] = kernel.Lookup[*claim.Service](k, claim.ServiceName)
 	s.back, failures[3] = kernel.Lookup[*back.Service](k, back.ServiceName)
 	s.witness = blame.Witness{
-		Decisions: s.scheduler, Servers: s.back, Fingerprints: s.fingerprints, Ended: s.metrics.Front.Ended,
+		Decisions: s.scheduler, Servers: s.back, Fingerprints: s.fingerprints, Ended: s.metrics.Front.EndedServers,
 	}
 	s.notices = notices.New(s.scheduler, clock.System, s.metrics.Front.Notices)
 	s.traces, failures[4] = kernel.Lookup[*telemetry.Traces](k, telemetry.TracesName)
--- a/front/serve.go
+++ b/front/serve.go
@@ -56,7 +56,7 @@
 func (s *Service) serve(ctx *fasthttp.RequestCtx, c *call) {
 	a := &attempt{service: s, ctx: ctx, call: c, began: time.Now(), holder: claim.NewHolder()}
 	a.blame = s.witness.Follow(c.account, a.fingerprintInput())
-	a.trace, a.span = s.traces.Begin(s.traces.Extract(context.Background(), &ctx.Request.Header), "request", trace.SpanKindServer)
+	a.trace, a.span = s.traces.StartSpan(s.traces.Extract(context.Background(), &ctx.Request.Header), "request", trace.SpanKindServer)
 	a.span.SetAttributes(attribute.String("account", c.accountName), attribute.String("route", c.route.Name))
 	ctx.Response.Header.Set(requestIDHeader, c.id)
 	a.submit()
@@ -100,7 +100,7 @@
 
 // wait waits for the scheduler's decision. It reports true if the caller left first.
 func (a *attempt) wait() (scheduler.Decision, bool) {
-	_, span := a.service.traces.Begin(a.trace, "wait", trace.SpanKindInternal)
+	_, span := a.service.traces.StartSpan(a.trace, "wait", trace.SpanKindInternal)
 	defer span.End()
 	ticker := time.NewTicker(callerCheckInterval)
 	defer ticker.Stop()
@@ -130,7 +130,7 @@
 	a.claimResult = make(chan claim.Result, 1)
 	key := claim.KeyOf(a.call.account, a.call.key)
 	go func() {
-		_, span := a.service.traces.Begin(a.trace, "claim", trace.SpanKindInternal)
+		_, span := a.service.traces.StartSpan(a.trace, "claim", trace.SpanKindInternal)
 		result := a.service.claims.Claim(context.WithoutCancel(a.trace), key, a.holder)
 		span.SetAttributes(attribute.Stringer("result", result))
 		span.End()
@@ -184,7 +184,7 @@
 	backend := c.Core.Backends[d.Backend]
 	policy := c.Core.Policy.Name
 	s.metrics.Front.Wait.WithLabelValues(a.call.accountName, a.call.class.String(), policy).Observe(d.Waited.Seconds())
-	ctx, span := s.traces.Begin(a.trace, "backend", trace.SpanKindClient)
+	ctx, span := s.traces.StartSpan(a.trace, "backend", trace.SpanKindClient)
 	span.SetAttributes(attribute.String("backend", backend.Name))
 	defer span.End()
 	engine := c.Core.Pools[a.call.route.Pool].FollowLoad
@@ -212,7 +212,7 @@
 		return false
 	}
 	a.sends++
-	s.metrics.Share.Dispatched.WithLabelValues(a.call.accountName, backend.Name, policy).Inc()
+	s.metrics.Scheduler.Dispatched.WithLabelValues(a.call.accountName, backend.Name, policy).Inc()
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
 		return a.handleFailure(err)
@@ -256,7 +256,7 @@
 	if !events && r.headErr == io.EOF {
 		r.meter.readUsage(r.head)
 	}
-	a.service.metrics.Front.First.WithLabelValues(a.call.route.Name).Observe(time.Since(a.began).Seconds())
+	a.service.metrics.Front.FirstByte.WithLabelValues(a.call.route.Name).Observe(time.Since(a.began).Seconds())
 	a.copyHead(response)
 	length := response.Header.ContentLength()
 	if !events && r.headErr == io.EOF {
@@ -304,7 +304,7 @@
 		defer s.open.Add(-1)
 	}
 	c := s.generation.InForce()
-	s.metrics.Share.Tokens.WithLabelValues(a.call.accountName, a.call.route.Name, c.Core.Policy.Name).Add(tokens + a.call.input)
+	s.metrics.Scheduler.Tokens.WithLabelValues(a.call.accountName, a.call.route.Name, c.Core.Policy.Name).Add(tokens + a.call.input)
 	if ending == core.Done {
 		a.blame.Answered()
 		s.rates.observe(tokens, time.Since(a.sentAt))
@@ -318,7 +318,7 @@
 // recordBackendFailure is called if the backend server failed after part of the response was relayed. It may be called
 // after the handler has returned.
 func (a *attempt) recordBackendFailure() {
-	a.service.metrics.Front.Breaches.WithLabelValues(string(telemetry.BreachBackend)).Inc()
+	a.service.metrics.Front.IncompleteAnswers.WithLabelValues(string(telemetry.BreakBackend)).Inc()
 	send := a.lastSend
 	send.Begun = true
 	a.blame.BrokeOff(send)
@@ -326,11 +326,11 @@
 
 // callerStopCounter returns a function that counts a response of which the caller read only a part.
 func (a *attempt) callerStopCounter(conn net.Conn) func() {
-	breaches := a.service.metrics.Front.Breaches
+	breaches := a.service.metrics.Front.IncompleteAnswers
 	return func() {
-		why := telemetry.BreachLeft
+		why := telemetry.BreakCallerLeft
 		if bounded, ok := conn.(*stall.Conn); ok && bounded.Stalled() {
-			why = telemetry.BreachStalled
+			why = telemetry.BreakCallerStalled
 		}
 		breaches.WithLabelValues(string(why)).Inc()
 	}
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -85,10 +85,10 @@
 // updateMetrics sets the gauges of pending and carried requests and of their limits.
 func (p *admitter) updateMetrics() {
 	p.metrics.Pending.Set(float64(p.gate.Pending()))
-	p.metrics.Window.Set(p.gate.Window())
+	p.metrics.PendingLimit.Set(p.gate.Window())
 	carried, limit := p.gate.Streams()
-	p.metrics.Carried.Set(float64(carried))
-	p.metrics.CarriedLimit.Set(limit)
+	p.metrics.Streams.Set(float64(carried))
+	p.metrics.StreamsLimit.Set(limit)
 }
 
 // countRefusal counts a request of an account that is refused by its header. It returns the number of refusals to log,
@@ -141,7 +141,7 @@
 func (a *attempt) refuseByHeader(verdict admission.Verdict) {
 	s := a.service
 	a.refused, a.shed = queueFull, true
-	s.metrics.Front.Unread.WithLabelValues(string(verdict.Reason)).Inc()
+	s.metrics.Front.RefusedUnread.WithLabelValues(string(verdict.Reason)).Inc()
 	s.scheduler.ReportUnread(core.UnreadRequest{
 		Account: a.account, Pool: a.route.PoolFor(rand.Float64()),
 		Route: model.HashName(a.route.Name), Prompt: a.meta.Prompt,
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -253,7 +253,7 @@
 }
 
 // abort ends a response so that the caller sees that it is truncated.
-func (a *attempt) abort(why telemetry.Breach) {
+func (a *attempt) abort(why telemetry.BreakCause) {
 	a.keepAlive = false
 	a.countBreach(why)
 	a.conn.Abort()
--- a/gateway/breach.go
+++ b/gateway/breach.go
@@ -9,21 +9,21 @@
 
 // breachOf returns why a response that had begun was truncated. cause is the read or write error, nil if no backend
 // server can continue the response.
-func (a *attempt) breachOf(cause error) telemetry.Breach {
+func (a *attempt) breachOf(cause error) telemetry.BreakCause {
 	var stalled *stall.Error
 	switch {
 	case errors.As(cause, &stalled):
-		return telemetry.BreachStalled
+		return telemetry.BreakCallerStalled
 	case errors.Is(cause, errCallerStopped) || a.callerLeft():
-		return telemetry.BreachLeft
+		return telemetry.BreakCallerLeft
 	case a.ctx.Err() != nil:
-		return telemetry.BreachLate
+		return telemetry.BreakTimeout
 	default:
-		return telemetry.BreachBackend
+		return telemetry.BreakBackend
 	}
 }
 
 // countBreach counts a response that had begun and was truncated.
-func (a *attempt) countBreach(why telemetry.Breach) {
-	a.service.metrics.Front.Breaches.WithLabelValues(string(why)).Inc()
+func (a *attempt) countBreach(why telemetry.BreakCause) {
+	a.service.metrics.Front.IncompleteAnswers.WithLabelValues(string(why)).Inc()
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -124,7 +124,7 @@
 		return err
 	}
 	s.witness = blame.Witness{
-		Decisions: s.scheduler, Servers: s.back, Fingerprints: s.settings.Fingerprints, Ended: s.metrics.Front.Ended,
+		Decisions: s.scheduler, Servers: s.back, Fingerprints: s.settings.Fingerprints, Ended: s.metrics.Front.EndedServers,
 	}
 	s.notices = notices.New(s.scheduler, s.clock, s.metrics.Front.Notices)
 	s.scheduler.Observe(scheduler.Observer{Suspended: func(time.Duration) { s.inFlight.cancelExpired() }})
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -28,7 +28,7 @@
 	if limit == 0 {
 		limit = math.MaxInt
 	}
-	metrics.HeldLimit.Set(float64(limit))
+	metrics.HeldBytesLimit.Set(float64(limit))
 	return &memory{log: log, metrics: metrics, refusedLog: newLogLimiter(), unbufferedLog: newLogLimiter(), budget: holding.New(limit)}
 }
 
@@ -63,12 +63,12 @@
 
 // updateGauge sets the gauge of a kind.
 func (m *memory) updateGauge(k holding.Kind) {
-	m.metrics.Held.WithLabelValues(kindNames[k]).Set(float64(m.budget.Held(k)))
+	m.metrics.HeldBytes.WithLabelValues(kindNames[k]).Set(float64(m.budget.Held(k)))
 }
 
 // recordRefusal counts a failed reservation and logs such failures at a limited rate.
 func (m *memory) recordRefusal(k holding.Kind, bytes int) {
-	m.metrics.GaveWay.WithLabelValues(kindNames[k]).Inc()
+	m.metrics.MemoryLimited.WithLabelValues(kindNames[k]).Inc()
 	limiter, text := m.refusedLog, "no room: large requests refused unread"
 	if k == holding.Response {
 		limiter, text = m.unbufferedLog, "no room: answers passed on in parts"
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -243,7 +243,7 @@
 		case e := <-s.events:
 			s.checkSuspension()
 			s.recordLag(c, s.now()-e.queuedAt)
-			s.metrics.Share.EventWait.Observe((s.now() - e.queuedAt).Seconds())
+			s.metrics.Scheduler.EventWait.Observe((s.now() - e.queuedAt).Seconds())
 			s.step(c, e.event)
 		case read := <-s.reads:
 			read(c)
@@ -267,14 +267,14 @@
 
 func (s *Service) step(c *core.Core, e core.Event) {
 	start := time.Now()
-	defer func() { s.metrics.Share.Step.Observe(time.Since(start).Seconds()) }()
+	defer func() { s.metrics.Scheduler.Step.Observe(time.Since(start).Seconds()) }()
 	actions := c.Step(s.now(), e)
-	s.metrics.Share.StepTime.Add(time.Since(start).Seconds())
-	s.metrics.Share.Steps.Inc()
+	s.metrics.Scheduler.StepTime.Add(time.Since(start).Seconds())
+	s.metrics.Scheduler.Steps.Inc()
 	s.storeReached.Store(int64(c.StoreReached()))
 	for _, a := range actions {
 		if _, changed := a.(core.MemberChanged); changed {
-			s.metrics.Share.Members.Set(float64(c.Live()))
+			s.metrics.Scheduler.Members.Set(float64(c.Live()))
 		}
 		s.act(a)
 	}
@@ -293,7 +293,7 @@
 	case core.Send:
 		s.send(a)
 	case core.Watch:
-		s.metrics.Share.Owned.Set(float64(len(a.Backends)))
+		s.metrics.Scheduler.OwnedBackends.Set(float64(len(a.Backends)))
 		s.eachObserver(func(o Observer) {
 			if o.WatchLoads != nil {
 				o.WatchLoads(a.Backends)
@@ -332,7 +332,7 @@
 	case core.LoadsOverdue:
 		s.logOverdue(a)
 	case core.OverdueCounted:
-		s.metrics.Share.Overdue.Set(float64(a.Routers))
+		s.metrics.Scheduler.OverdueReports.Set(float64(a.Routers))
 	}
 }
 
--- a/scheduler/suspected.go
+++ b/scheduler/suspected.go
@@ -56,7 +56,7 @@
 func (s *Service) logHeld(a core.HeldChanged) {
 	line := s.log.Info().Stringer("fingerprint", model.Fingerprint(a.Suspicion.Fingerprint)).Bool("seen", a.Seen)
 	if !a.Held {
-		s.metrics.Share.Held.Dec()
+		s.metrics.Scheduler.HeldRequests.Dec()
 		line.Msg("request let go")
 		return
 	}
@@ -64,6 +64,6 @@
 		line.Int("ends", len(a.Suspicion.Backends)).Msg("try of a held-back request failed")
 		return
 	}
-	s.metrics.Share.Held.Inc()
+	s.metrics.Scheduler.HeldRequests.Inc()
 	line.Int("ends", len(a.Suspicion.Backends)).Uints32("ended_ms", a.Suspicion.EndedMs).Msg("request held back")
 }
--- a/status/status.go
+++ b/status/status.go
@@ -90,7 +90,7 @@
 
 // Claim implements wire.DRPCPeerServer.
 func (s *Service) Claim(ctx context.Context, in *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-	ctx, span := s.traces.Begin(telemetry.FromPeer(ctx), "commit claim", trace.SpanKindServer)
+	ctx, span := s.traces.StartSpan(telemetry.FromPeer(ctx), "commit claim", trace.SpanKindServer)
 	defer span.End()
 	return s.claims.Answer(ctx, in)
 }
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -10,12 +10,12 @@
 
 // Metrics contains all metrics of a router.
 type Metrics struct {
-	Registry *prometheus.Registry
-	Peer     *Peer
-	Halls    *Halls
-	Front    *Front
-	Share    *Share
-	Platform *Platform
+	Registry  *prometheus.Registry
+	Peer      *Peer
+	Halls     *Halls
+	Front     *Front
+	Scheduler *Scheduler
+	Platform  *Platform
 }
 
 // Peer contains the metrics of the traffic between routers.
@@ -42,48 +42,48 @@
 
 // Front contains the metrics of callers' requests.
 type Front struct {
-	Requests     *prometheus.CounterVec   // by account, route, outcome
-	Refusals     *prometheus.CounterVec   // by code
-	Wait         *prometheus.HistogramVec // seconds, by account, class, policy
-	First        *prometheus.HistogramVec // seconds to the first byte, by route
-	Held         *prometheus.GaugeVec     // bytes, by what
-	HeldLimit    prometheus.Gauge
-	GaveWay      *prometheus.CounterVec // by what
-	Ended        prometheus.Counter
-	Breaches     *prometheus.CounterVec // incomplete answers to callers, by Breach
-	Notices      *prometheus.CounterVec // by kind
-	Open         prometheus.Gauge
-	Unread       *prometheus.CounterVec // by reason
-	Pending      prometheus.Gauge
-	Window       prometheus.Gauge // requests; infinite if no decision was late
-	Carried      prometheus.Gauge
-	CarriedLimit prometheus.Gauge       // streams; infinite if the event loop isn't delayed
-	Work         *prometheus.CounterVec // by kind
+	Requests          *prometheus.CounterVec   // by account, route, outcome
+	Refusals          *prometheus.CounterVec   // by code
+	Wait              *prometheus.HistogramVec // seconds, by account, class, policy
+	FirstByte         *prometheus.HistogramVec // seconds to the first byte, by route
+	HeldBytes         *prometheus.GaugeVec     // bytes, by what
+	HeldBytesLimit    prometheus.Gauge
+	MemoryLimited     *prometheus.CounterVec // by what
+	EndedServers      prometheus.Counter
+	IncompleteAnswers *prometheus.CounterVec // incomplete answers to callers, by BreakCause
+	Notices           *prometheus.CounterVec // by kind
+	Open              prometheus.Gauge
+	RefusedUnread     *prometheus.CounterVec // by reason
+	Pending           prometheus.Gauge
+	PendingLimit      prometheus.Gauge // requests; infinite if no decision was late
+	Streams           prometheus.Gauge
+	StreamsLimit      prometheus.Gauge       // streams; infinite if the event loop isn't delayed
+	Work              *prometheus.CounterVec // by kind
 }
 
-// Breach is the reason for an incomplete answer.
-type Breach string
+// BreakCause is the reason for an incomplete answer.
+type BreakCause string
 
 // The reasons for incomplete answers.
 const (
-	BreachStalled Breach = "caller-stalled" // the caller didn't read the answer for too long
-	BreachLeft    Breach = "caller-left"    // the caller closed its connection
-	BreachBackend Breach = "backend"        // the backend server interrupted the answer, and no other could continue it
-	BreachLate    Breach = "time-over"      // the request's timeout expired
+	BreakCallerStalled BreakCause = "caller-stalled" // the caller didn't read the answer for too long
+	BreakCallerLeft    BreakCause = "caller-left"    // the caller closed its connection
+	BreakBackend       BreakCause = "backend"        // the backend server interrupted the answer, and no other could continue it
+	BreakTimeout       BreakCause = "time-over"      // the request's timeout expired
 )
 
-// Share contains the metrics of the scheduler.
-type Share struct {
-	Dispatched *prometheus.CounterVec // by account, backend, policy
-	Tokens     *prometheus.CounterVec // by account, pool, policy
-	StepTime   prometheus.Counter     // seconds
-	Steps      prometheus.Counter
-	EventWait  prometheus.Histogram // seconds from an event to the step that handles it
-	Step       prometheus.Histogram // duration of a step in seconds
-	Members    prometheus.Gauge
-	Owned      prometheus.Gauge
-	Held       prometheus.Gauge
-	Overdue    prometheus.Gauge
+// Scheduler contains the metrics of the scheduler.
+type Scheduler struct {
+	Dispatched     *prometheus.CounterVec // by account, backend, policy
+	Tokens         *prometheus.CounterVec // by account, pool, policy
+	StepTime       prometheus.Counter     // seconds
+	Steps          prometheus.Counter
+	EventWait      prometheus.Histogram // seconds from an event to the step that handles it
+	Step           prometheus.Histogram // duration of a step in seconds
+	Members        prometheus.Gauge
+	OwnedBackends  prometheus.Gauge
+	HeldRequests   prometheus.Gauge
+	OverdueReports prometheus.Gauge
 }
 
 // Platform contains the metrics of the platform's services.
@@ -121,35 +121,35 @@
 			Copied: f.counter("between_halls_copied_tokens_total", "Tokens of prompts that backend servers were told to copy from another data hall."),
 		},
 		Front: &Front{
-			Requests:     f.counters("requests_total", "Requests by their end.", "account", "route", "outcome"),
-			Refusals:     f.counters("refusals_total", "Requests refused, by reason.", "code"),
-			Wait:         f.histograms("wait_seconds", "Time until a request was dispatched.", "account", "class", "policy"),
-			First:        f.histograms("first_byte_seconds", "Time until the answer's first byte.", "route"),
-			Ended:        f.counter("ended_servers_total", "Answers that broke off as their backend server ended."),
-			Held:         f.gauges("held_bytes", "Bytes that are held for callers.", "what"),
-			HeldLimit:    f.gauge("held_bytes_limit", "Bytes that may be held for callers."),
-			GaveWay:      f.counters("gave_way_total", "Requests refused unread and answers passed on in parts, as there was no room to hold them.", "what"),
-			Breaches:     f.counters("broken_answers_total", "Answers broken off towards their callers, by cause.", "cause"),
-			Notices:      f.counters("server_notices_total", "What backend servers said of themselves beside answers.", "notice"),
-			Open:         f.gauge("requests_open", "Requests being served."),
-			Unread:       f.counters("refused_unread_total", "Requests refused by their header, by reason.", "reason"),
-			Pending:      f.gauge("requests_pending", "Requests that were let in and aren't decided on yet."),
-			Window:       f.gauge("requests_pending_limit", "Requests that may wait for a decision as it would else be late."),
-			Carried:      f.gauge("streams_carried", "Streams that were let in and haven't ended."),
-			CarriedLimit: f.gauge("streams_carried_limit", "Streams that may be carried, as more would be passed on late."),
-			Work:         f.counters("callers_work_total", "What was done for callers, by kind: what processor time goes into.", "kind"),
+			Requests:          f.counters("requests_total", "Requests by their end.", "account", "route", "outcome"),
+			Refusals:          f.counters("refusals_total", "Requests refused, by reason.", "code"),
+			Wait:              f.histograms("wait_seconds", "Time until a request was dispatched.", "account", "class", "policy"),
+			FirstByte:         f.histograms("first_byte_seconds", "Time until the answer's first byte.", "route"),
+			EndedServers:      f.counter("ended_servers_total", "Answers that broke off as their backend server ended."),
+			HeldBytes:         f.gauges("held_bytes", "Bytes that are held for callers.", "what"),
+			HeldBytesLimit:    f.gauge("held_bytes_limit", "Bytes that may be held for callers."),
+			MemoryLimited:     f.counters("gave_way_total", "Requests refused unread and answers passed on in parts, as there was no room to hold them.", "what"),
+			IncompleteAnswers: f.counters("broken_answers_total", "Answers broken off towards their callers, by cause.", "cause"),
+			Notices:           f.counters("server_notices_total", "What backend servers said of themselves beside answers.", "notice"),
+			Open:              f.gauge("requests_open", "Requests being served."),
+			RefusedUnread:     f.counters("refused_unread_total", "Requests refused by their header, by reason.", "reason"),
+			Pending:           f.gauge("requests_pending", "Requests that were let in and aren't decided on yet."),
+			PendingLimit:      f.gauge("requests_pending_limit", "Requests that may wait for a decision as it would else be late."),
+			Streams:           f.gauge("streams_carried", "Streams that were let in and haven't ended."),
+			StreamsLimit:      f.gauge("streams_carried_limit", "Streams that may be carried, as more would be passed on late."),
+			Work:              f.counters("callers_work_total", "What was done for callers, by kind: what processor time goes into.", "kind"),
 		},
-		Share: &Share{
-			Dispatched: f.counters("dispatched_total", "Requests sent to a backend server.", "account", "backend", "policy"),
-			Tokens:     f.counters("tokens_total", "Tokens delivered, input and output.", "account", "pool", "policy"),
-			StepTime:   f.counter("core_seconds_total", "Processor time of the decisions."),
-			Steps:      f.counter("core_steps_total", "Events that the decisions took."),
-			EventWait:  f.histogram("core_event_wait_seconds", "Time from an event to the step of the decisions that takes it."),
-			Step:       f.histogram("core_step_duration_seconds", "Time of one step of the decisions, its actions included."),
-			Members:    f.gauge("members", "Live routers, this one included."),
-			Owned:      f.gauge("owned_backends", "Backend servers whose slots this router grants."),
-			Held:       f.gauge("held_requests", "Requests that are held back, as backend servers ended under them."),
-			Overdue:    f.gauge("load_reports_overdue", "Live routers of which no load reports arrive."),
+		Scheduler: &Scheduler{
+			Dispatched:     f.counters("dispatched_total", "Requests sent to a backend server.", "account", "backend", "policy"),
+			Tokens:         f.counters("tokens_total", "Tokens delivered, input and output.", "account", "pool", "policy"),
+			StepTime:       f.counter("core_seconds_total", "Processor time of the decisions."),
+			Steps:          f.counter("core_steps_total", "Events that the decisions took."),
+			EventWait:      f.histogram("core_event_wait_seconds", "Time from an event to the step of the decisions that takes it."),
+			Step:           f.histogram("core_step_duration_seconds", "Time of one step of the decisions, its actions included."),
+			Members:        f.gauge("members", "Live routers, this one included."),
+			OwnedBackends:  f.gauge("owned_backends", "Backend servers whose slots this router grants."),
+			HeldRequests:   f.gauge("held_requests", "Requests that are held back, as backend servers ended under them."),
+			OverdueReports: f.gauge("load_reports_overdue", "Live routers of which no load reports arrive."),
 		},
 		Platform: &Platform{
 			StoreCalls:    f.counters("store_calls_total", "Calls of the store.", "call"),
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -65,8 +65,8 @@
 	return t.provider.Shutdown(ctx)
 }
 
-// Begin starts a span.
-func (t *Traces) Begin(ctx context.Context, name string, kind oteltrace.SpanKind) (context.Context, oteltrace.Span) {
+// StartSpan starts a span.
+func (t *Traces) StartSpan(ctx context.Context, name string, kind oteltrace.SpanKind) (context.Context, oteltrace.Span) {
 	return t.tracer.Start(ctx, name, oteltrace.WithSpanKind(kind))
 }
 
