--- a/blame/blame.go
+++ b/blame/blame.go
@@ -14,8 +14,8 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Decisions receives the events of this package and reports which accounts have suspect requests.
-type Decisions interface {
+// Scheduler receives the events of this package and reports which accounts have suspect requests.
+type Scheduler interface {
 	HasSuspects(model.AccountID) bool
 	Enqueue(core.Event)
 }
@@ -25,29 +25,29 @@
 	Ended(address string) bool
 }
 
-// Witness contains the dependencies for tracking a router's requests.
-type Witness struct {
-	Decisions    Decisions
+// Tracker contains the dependencies for tracking a router's requests.
+type Tracker struct {
+	Scheduler    Scheduler
 	Servers      Servers
 	Fingerprints fingerprint.Maker
 	Ended        prometheus.Counter // answers interrupted because their backend server ended
 }
 
-// Case is a tracked request.
-type Case struct {
-	tracker     Witness
+// Request is a tracked request.
+type Request struct {
+	tracker     Tracker
 	account     model.AccountID
 	request     func() fingerprint.Request
 	fingerprint model.Fingerprint // 0 until it is computed
 }
 
-// Follow starts tracking a request. It calls request only if the fingerprint is needed.
-func (w Witness) Follow(account model.AccountID, request func() fingerprint.Request) *Case {
-	return &Case{tracker: w, account: account, request: request}
+// Track starts tracking a request. It calls request only if the fingerprint is needed.
+func (w Tracker) Track(account model.AccountID, request func() fingerprint.Request) *Request {
+	return &Request{tracker: w, account: account, request: request}
 }
 
 // Fingerprint returns the request's fingerprint.
-func (c *Case) Fingerprint() model.Fingerprint {
+func (c *Request) Fingerprint() model.Fingerprint {
 	if c.fingerprint == 0 {
 		c.fingerprint = c.tracker.Fingerprints.Of(c.request())
 	}
@@ -56,43 +56,43 @@
 
 // Suspect returns the request's fingerprint if its account has suspect requests, and 0 otherwise, as the
 // fingerprint isn't needed then.
-func (c *Case) Suspect() model.Fingerprint {
-	if !c.tracker.Decisions.HasSuspects(c.account) {
+func (c *Request) Suspect() model.Fingerprint {
+	if !c.tracker.Scheduler.HasSuspects(c.account) {
 		return 0
 	}
 	return c.Fingerprint()
 }
 
-// Send is an attempt to send the request whose answer was interrupted.
-type Send struct {
+// Attempt is an attempt to send the request whose answer was interrupted.
+type Attempt struct {
 	Backend model.BackendID
 	Address string // IP and port
 	At      time.Time
 	Begun   bool // part of the answer was received
 }
 
-// BrokeOff reports whether the backend server has ended, and if so records that against the request. A
+// Interrupted reports whether the backend server has ended, and if so records that against the request. A
 // connection that was lost for another reason is not recorded.
 //
 // A request that ends every backend server that runs it is repeated under other identifiers and at other routers,
 // where each attempt looks like the first. Of two such requests, repeated every 350 ms for 15 s, 55 and 28 runs
 // began, 39 and 22 of them more than three seconds after the third. With this record, 4 and 4 begin, 1 and 1 of them
 // as late (TestPlatformRequestsThatEndServersAreHeldBack).
-func (c *Case) BrokeOff(s Send) bool {
+func (c *Request) Interrupted(s Attempt) bool {
 	ran := time.Since(s.At)
 	if !c.tracker.Servers.Ended(s.Address) {
 		return false
 	}
 	c.tracker.Ended.Inc()
-	c.tracker.Decisions.Enqueue(core.ServerEnded{
+	c.tracker.Scheduler.Enqueue(core.ServerEnded{
 		Fingerprint: c.Fingerprint(), Account: c.account, Backend: s.Backend, RunTime: ran, Begun: s.Begun,
 	})
 	return true
 }
 
 // Answered reports to the scheduler that the request got a complete answer, if its account has suspect requests.
-func (c *Case) Answered() {
+func (c *Request) Answered() {
 	if f := c.Suspect(); f != 0 {
-		c.tracker.Decisions.Enqueue(core.Answered{Fingerprint: f})
+		c.tracker.Scheduler.Enqueue(core.Answered{Fingerprint: f})
 	}
 }
--- a/front/notice.go
+++ b/front/notice.go
@@ -24,7 +24,7 @@
 		log.Err(err).Msg("what a backend server says of itself can't be read")
 		return
 	}
-	if s.notices.Hear(d.Backend, notice.Notice{Rest: rest}) {
+	if s.notices.Record(d.Backend, notice.Notice{Rest: rest}) {
 		log.Dur("rest_ms", rest).Msg("backend server wants nothing new")
 	}
 }
--- a/front/serve.go
+++ b/front/serve.go
@@ -48,14 +48,14 @@
 	holder      claim.Holder
 	sends       int
 	sentAt      time.Time // time of the last send
-	lastSend    blame.Send
-	blame       *blame.Case
+	lastSend    blame.Attempt
+	blame       *blame.Request
 }
 
 // serve schedules the request, claims its key, sends it, and relays the response.
 func (s *Service) serve(ctx *fasthttp.RequestCtx, c *call) {
 	a := &attempt{service: s, ctx: ctx, call: c, began: time.Now(), holder: claim.NewHolder()}
-	a.blame = s.witness.Follow(c.account, a.fingerprintInput())
+	a.blame = s.witness.Track(c.account, a.fingerprintInput())
 	a.trace, a.span = s.traces.StartSpan(s.traces.Extract(context.Background(), &ctx.Request.Header), "request", trace.SpanKindServer)
 	a.span.SetAttributes(attribute.String("account", c.accountName), attribute.String("route", c.route.Name))
 	ctx.Response.Header.Set(requestIDHeader, c.id)
@@ -202,8 +202,8 @@
 		stop = s.rates.report(a.scheduled.Progress)
 	}
 	a.sentAt = time.Now()
-	a.lastSend = blame.Send{Backend: d.Backend, Address: c.AddressOf(d.Backend), At: a.sentAt}
-	accepts := func() bool { return s.notices.Takes(d.Backend) }
+	a.lastSend = blame.Attempt{Backend: d.Backend, Address: c.AddressOf(d.Backend), At: a.sentAt}
+	accepts := func() bool { return s.notices.Accepts(d.Backend) }
 	response, err := s.back.Send(context.WithoutCancel(ctx), c.AddressOf(d.Backend), req, accepts)
 	stop()
 	if exchange.NotSent(err) {
@@ -225,7 +225,7 @@
 // request waits again.
 func (a *attempt) handleFailure(cause error) bool {
 	a.scheduled.Finish(0, core.Broken)
-	a.blame.BrokeOff(a.lastSend)
+	a.blame.Interrupted(a.lastSend)
 	if a.call.repeatable() && a.sends < maxSends {
 		a.submit()
 		return false
@@ -321,7 +321,7 @@
 	a.service.metrics.Front.IncompleteAnswers.WithLabelValues(string(telemetry.BreakBackend)).Inc()
 	send := a.lastSend
 	send.Begun = true
-	a.blame.BrokeOff(send)
+	a.blame.Interrupted(send)
 }
 
 // callerStopCounter returns a function that counts a response of which the caller read only a part.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -55,7 +55,7 @@
 	tried               []model.BackendID
 	relay               relay
 	reserved            reservation
-	blame               *blame.Case
+	blame               *blame.Request
 	keepAlive           bool // the connection may carry another request
 }
 
@@ -97,7 +97,7 @@
 		a.countOutcome("caller-left")
 		return false
 	}
-	a.blame = a.service.witness.Follow(a.account, a.fingerprintInput)
+	a.blame = a.service.witness.Track(a.account, a.fingerprintInput)
 	ctx, left := context.WithTimeout(context.Background(), a.left())
 	defer left()
 	a.ctx = ctx
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -78,7 +78,7 @@
 	scheduler  *scheduler.Service
 	generation *generation.Service
 	back       *back.Service
-	witness    blame.Witness
+	witness    blame.Tracker
 	notices    *notices.Board
 	clock      *clock.Clock
 	inFlight   inFlight
@@ -123,8 +123,8 @@
 	if err := errors.Join(failures[:]...); err != nil {
 		return err
 	}
-	s.witness = blame.Witness{
-		Decisions: s.scheduler, Servers: s.back, Fingerprints: s.settings.Fingerprints, Ended: s.metrics.Front.EndedServers,
+	s.witness = blame.Tracker{
+		Scheduler: s.scheduler, Servers: s.back, Fingerprints: s.settings.Fingerprints, Ended: s.metrics.Front.EndedServers,
 	}
 	s.notices = notices.New(s.scheduler, s.clock, s.metrics.Front.Notices)
 	s.scheduler.Observe(scheduler.Observer{Suspended: func(time.Duration) { s.inFlight.cancelExpired() }})
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -13,7 +13,7 @@
 		a.service.notices.Unreadable()
 		a.log("notice").Str("backend", a.nameOf(d)).Err(response.NoticeErr).Msg("what a backend server says of itself can't be read")
 	}
-	if !a.service.notices.Hear(d.Backend, response.Notice) {
+	if !a.service.notices.Record(d.Backend, response.Notice) {
 		return
 	}
 	a.log("notice").Str("backend", a.nameOf(d)).Bool("leaving", response.Notice.Leaving).
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -34,7 +34,7 @@
 	response, err := s.back.Exchange(a.ctx, run, req, exchange.Options{
 		Timeout: a.silenceLimit(), AllowUndelimited: true, BodyStable: true,
 		Skip:   a.isForOtherRequest,
-		Wanted: func() bool { return a.isWanted() && s.notices.Takes(d.Backend) },
+		Wanted: func() bool { return a.isWanted() && s.notices.Accepts(d.Backend) },
 	})
 	if exchange.NotSent(err) {
 		return a.handleNotSent(d)
@@ -241,7 +241,7 @@
 	if errors.Is(cause, errCallerStopped) || errors.Is(cause, errNoRequestID) || errors.Is(cause, errNotRunStatus) {
 		return false
 	}
-	return a.blame.BrokeOff(blame.Send{
+	return a.blame.Interrupted(blame.Attempt{
 		Backend: d.Backend, Address: a.service.generation.InForce().AddressOf(d.Backend),
 		At: a.sentAt, Begun: a.relay.begun,
 	})
--- a/notices/notices.go
+++ b/notices/notices.go
@@ -17,14 +17,14 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// Decisions receives the notices as events.
-type Decisions interface {
+// Scheduler receives the notices as events.
+type Scheduler interface {
 	Enqueue(core.Event)
 }
 
 // Board holds the notices that a router has received.
 type Board struct {
-	decisions Decisions
+	decisions Scheduler
 	clock     *clock.Clock
 	counter   *prometheus.CounterVec // by kind
 
@@ -33,13 +33,13 @@
 }
 
 // New returns an empty board. It counts received notices by kind in counter.
-func New(decisions Decisions, c *clock.Clock, counter *prometheus.CounterVec) *Board {
+func New(decisions Scheduler, c *clock.Clock, counter *prometheus.CounterVec) *Board {
 	return &Board{decisions: decisions, clock: c, counter: counter, book: notice.New()}
 }
 
-// Hear records a notice of a backend server, and reports whether it changes what may be sent to it. It sends the
+// Record records a notice of a backend server, and reports whether it changes what may be sent to it. It sends the
 // notice to the scheduler first, so that a request that is then not sent is scheduled again with the notice considered.
-func (b *Board) Hear(id model.BackendID, n notice.Notice) (changed bool) {
+func (b *Board) Record(id model.BackendID, n notice.Notice) (changed bool) {
 	if n == (notice.Notice{}) {
 		return false
 	}
@@ -58,8 +58,8 @@
 // Unreadable counts a notice that can't be parsed.
 func (b *Board) Unreadable() { b.counter.WithLabelValues("unreadable").Inc() }
 
-// Takes reports whether a backend server accepts new requests, according to its notices.
-func (b *Board) Takes(id model.BackendID) bool {
+// Accepts reports whether a backend server accepts new requests, according to its notices.
+func (b *Board) Accepts(id model.BackendID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.book.Accepts(b.clock.Now(), id)
