--- a/config/check/ts2011/ts2011.go
+++ b/config/check/ts2011/ts2011.go
@@ -39,7 +39,7 @@
 		if r.Path != "" && (r.Service == "" && r.Host == "" || !strings.HasPrefix(r.Path, "/")) {
 			p.Report(path+".path", "a path begins with / and belongs to a service or host")
 		}
-		if r.Host == "" && (len(r.Split) > 0 || r.Through != (config.Through{})) {
+		if r.Host == "" && (len(r.Split) > 0 || r.Through != (config.HostOptions{})) {
 			p.Report(path, "only a route of a host is split or passed through")
 		}
 		if r.Claims != "" && r.Repeatable {
--- a/config/compile.go
+++ b/config/compile.go
@@ -20,9 +20,9 @@
 	defaultCallCost = 100.0 // tokens per call of a service
 )
 
-// InForce is a compiled generation of the configuration, as the services use it.
+// Compiled is a compiled generation of the configuration, as the services use it.
 // It is immutable.
-type InForce struct {
+type Compiled struct {
 	Generation uint64
 	File       *File
 	Core       *core.Config
@@ -31,11 +31,11 @@
 	services   map[string][]*CompiledRoute // by service, longest path first
 	hosts      map[string][]*CompiledRoute // by host, longest path first
 	addresses  map[model.BackendID]string
-	Surroundings
+	RuntimeState
 }
 
-// Surroundings is the state that routers read from sources other than the operators' file.
-type Surroundings struct {
+// RuntimeState is the state that routers read from sources other than the operators' file.
+type RuntimeState struct {
 	// Catalog is the revision of Discovered.
 	Catalog    uint64
 	Discovered []Discovered
@@ -56,7 +56,7 @@
 	Wait       time.Duration
 	CallCost   float64
 	Split      []PoolShare // set for host routes only
-	Through    Through
+	Through    HostOptions
 }
 
 // PoolShare is the fraction of a route's requests that a pool serves, from 0 to 1.
@@ -89,13 +89,13 @@
 }
 
 // Compile compiles a file that has passed all checks.
-func Compile(generation uint64, f *File) *InForce {
-	return CompileWith(generation, f, Surroundings{})
+func Compile(generation uint64, f *File) *Compiled {
+	return CompileWith(generation, f, RuntimeState{})
 }
 
 // CompileWith compiles a file that has passed all checks together with state from other sources.
-func CompileWith(generation uint64, f *File, state Surroundings) *InForce {
-	c := &InForce{
+func CompileWith(generation uint64, f *File, state RuntimeState) *Compiled {
+	c := &Compiled{
 		Generation: generation,
 		File:       f,
 		Core: &core.Config{
@@ -122,11 +122,11 @@
 
 // With returns a copy of the configuration with other Surroundings. These change more often
 // than the file, and the file's routes take longer to compile.
-func (c *InForce) With(state Surroundings) *InForce {
+func (c *Compiled) With(state RuntimeState) *Compiled {
 	out := *c
 	coreConfig := *c.Core
 	out.Core = &coreConfig
-	out.Surroundings = state
+	out.RuntimeState = state
 	out.Core.Catalog, out.Core.Halls = state.Catalog, state.Halls
 	out.Core.Backends = map[model.BackendID]core.Backend{}
 	out.addresses = map[model.BackendID]string{}
@@ -137,7 +137,7 @@
 }
 
 // compileEvacuated marks the backend servers in evacuated data halls.
-func (c *InForce) compileEvacuated() {
+func (c *Compiled) compileEvacuated() {
 	if len(c.File.Evacuated)+len(c.Evacuated) == 0 {
 		return
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-func (c *InForce) compileAccounts() {
+func (c *Compiled) compileAccounts() {
 	for _, a := range c.File.Accounts {
 		id := model.Account(a.Name)
 		c.Core.Accounts[id] = core.Account{
@@ -171,7 +171,7 @@
 }
 
 // compilePools returns the cost of a call by pool, in tokens.
-func (c *InForce) compilePools() map[string]float64 {
+func (c *Compiled) compilePools() map[string]float64 {
 	costs := map[string]float64{}
 	for _, p := range c.File.Pools {
 		id := model.Pool(p.Name)
@@ -193,7 +193,7 @@
 }
 
 // compileStatic adds the backend servers listed in the file.
-func (c *InForce) compileStatic() {
+func (c *Compiled) compileStatic() {
 	for _, p := range c.File.Pools {
 		for _, b := range p.Backends {
 			id := model.Backend(b.Name)
@@ -207,7 +207,7 @@
 
 // compileDiscovered adds the backend servers that have registered themselves for
 // a pool of the file.
-func (c *InForce) compileDiscovered(discovered []Discovered) {
+func (c *Compiled) compileDiscovered(discovered []Discovered) {
 	for _, d := range discovered {
 		pool := model.Pool(d.Pool)
 		if _, known := c.Core.Pools[pool]; !known {
@@ -222,7 +222,7 @@
 	}
 }
 
-func (c *InForce) compileRoutes(costs map[string]float64) {
+func (c *Compiled) compileRoutes(costs map[string]float64) {
 	for _, r := range c.File.Routes {
 		class := model.Interactive
 		if r.Class == model.Batch.String() {
@@ -281,16 +281,16 @@
 }
 
 // AccountOf returns the client account of an API key.
-func (c *InForce) AccountOf(key string) (model.AccountID, bool) {
+func (c *Compiled) AccountOf(key string) (model.AccountID, bool) {
 	id, ok := c.accounts[HashKey(key)]
 	return id, ok
 }
 
 // ModelRoute returns the route for a model, or nil.
-func (c *InForce) ModelRoute(name string) *CompiledRoute { return c.models[name] }
+func (c *Compiled) ModelRoute(name string) *CompiledRoute { return c.models[name] }
 
 // ServiceRoute returns the route for a path of a service, or nil.
-func (c *InForce) ServiceRoute(service, path string) *CompiledRoute {
+func (c *Compiled) ServiceRoute(service, path string) *CompiledRoute {
 	for _, r := range c.services[service] {
 		if strings.HasPrefix(path, r.Path) {
 			return r
@@ -300,7 +300,7 @@
 }
 
 // HostRoute returns the route for a host and path, or nil.
-func (c *InForce) HostRoute(host, path string) *CompiledRoute {
+func (c *Compiled) HostRoute(host, path string) *CompiledRoute {
 	for _, r := range c.hosts[host] {
 		if strings.HasPrefix(path, r.Path) {
 			return r
@@ -310,4 +310,4 @@
 }
 
 // AddressOf returns the IP and port of a backend server.
-func (c *InForce) AddressOf(id model.BackendID) string { return c.addresses[id] }
+func (c *Compiled) AddressOf(id model.BackendID) string { return c.addresses[id] }
--- a/config/config.go
+++ b/config/config.go
@@ -129,7 +129,7 @@
 	// Wait is the maximum wait of a request whose caller gives none.
 	Wait time.Duration `yaml:"wait" json:"wait,omitempty"`
 	// Through holds the options of host routes.
-	Through Through `yaml:"through" json:"through,omitzero"`
+	Through HostOptions `yaml:"through" json:"through,omitzero"`
 }
 
 // Share is the share of a route's requests that a pool serves.
@@ -138,8 +138,8 @@
 	Weight float64 `yaml:"weight,required" json:"weight"`
 }
 
-// Through holds the options for passing through the requests of a host route.
-type Through struct {
+// HostOptions holds the options for passing through the requests of a host route.
+type HostOptions struct {
 	// Public reports whether requests need no API key.
 	Public bool `yaml:"public" json:"public,omitempty"`
 	// Streaming answers are events with ascending identifiers; Resumable ones may be
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -40,7 +40,7 @@
 
 // Loads polls the health and load of the backend servers that this router owns.
 type Loads struct {
-	inForce   func() *config.InForce
+	inForce   func() *config.Compiled
 	scheduler *scheduler.Service
 
 	mu       sync.Mutex
@@ -53,7 +53,7 @@
 }
 
 // NewLoads returns the service. inForce returns the configuration in force, nil if there is none yet.
-func NewLoads(inForce func() *config.InForce) *Loads {
+func NewLoads(inForce func() *config.Compiled) *Loads {
 	return &Loads{
 		inForce: inForce, clients: exchange.NewClients(loadTimeout),
 		failures: map[model.BackendID]int{}, ended: make(chan struct{}),
--- a/front/call.go
+++ b/front/call.go
@@ -53,7 +53,7 @@
 }
 
 // parseCall parses a caller's request.
-func parseCall(ctx *fasthttp.RequestCtx, c *config.InForce) (*call, *problem) {
+func parseCall(ctx *fasthttp.RequestCtx, c *config.Compiled) (*call, *problem) {
 	key, _ := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	account, ok := c.AccountOf(key)
 	if !ok {
@@ -76,7 +76,7 @@
 	return out, nil
 }
 
-func (c *call) readService(ctx *fasthttp.RequestCtx, conf *config.InForce, rest string) *problem {
+func (c *call) readService(ctx *fasthttp.RequestCtx, conf *config.Compiled, rest string) *problem {
 	service, path, _ := strings.Cut(rest, "/")
 	c.path = "/" + path
 	c.route = conf.ServiceRoute(service, c.path)
@@ -98,7 +98,7 @@
 	Messages json.RawMessage `json:"messages"`
 }
 
-func (c *call) readCompletion(ctx *fasthttp.RequestCtx, conf *config.InForce, path string) *problem {
+func (c *call) readCompletion(ctx *fasthttp.RequestCtx, conf *config.Compiled, path string) *problem {
 	if !ctx.IsPost() {
 		return &problem{UnknownPath, path}
 	}
--- a/front/call_test.go
+++ b/front/call_test.go
@@ -16,7 +16,7 @@
 
 const testKey = "a-key"
 
-func testConfig(t testing.TB) *config.InForce {
+func testConfig(t testing.TB) *config.Compiled {
 	t.Helper()
 	text := `version: 1
 accounts: [{name: league, keys: ["` + config.HashKey(testKey) + `"]}]
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -271,7 +271,7 @@
 }
 
 // logDispatch logs a dispatch with the basis of the decision.
-func (a *attempt) logDispatch(d scheduler.Decision, backend string, inForce *config.InForce) {
+func (a *attempt) logDispatch(d scheduler.Decision, backend string, inForce *config.Compiled) {
 	logBasis(a.log("dispatched"), d.Basis).Str("backend", backend).Int("send", a.sends+1).
 		Dur("waited_ms", d.Waited).Int("copied", d.Copied).
 		Uint64("generation", inForce.Generation).Uint64("catalog", inForce.Catalog).Uint64("halls", inForce.Halls).
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -21,7 +21,7 @@
 )
 
 // limitsOf returns the limits in force, with defaults for those that are not configured.
-func limitsOf(c *config.InForce) config.CallerLimits {
+func limitsOf(c *config.Compiled) config.CallerLimits {
 	var out config.CallerLimits
 	if c != nil {
 		out = c.File.Callers
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -70,7 +70,7 @@
 // Scheduler receives the configuration in force and sends requests for store access to its observer.
 type Scheduler interface {
 	Enqueue(core.Event)
-	Configure(*config.InForce)
+	Configure(*config.Compiled)
 	Observe(scheduler.Observer)
 }
 
@@ -127,14 +127,14 @@
 	caller    Caller
 	peers     Peers
 
-	inForce atomic.Pointer[config.InForce]
+	inForce atomic.Pointer[config.Compiled]
 	ready   atomic.Bool
 
 	began      time.Time
 	mu         sync.Mutex
 	document   *wire.Document
-	file       *config.InForce // compiled from document, without discovered backend servers
-	revision   int64           // of the document in the store, 0 if it came from a router
+	file       *config.Compiled // compiled from document, without discovered backend servers
+	revision   int64            // of the document in the store, 0 if it came from a router
 	fetching   bool
 	fetchFrom  string    // address of the router to fetch from: the first that was seen, or one in the same data hall
 	fetchEnded time.Time // when the last fetch ended
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// InForce returns the configuration in force, nil if there is none.
-func (s *Service) InForce() *config.InForce { return s.inForce.Load() }
+// Compiled returns the configuration in force, nil if there is none.
+func (s *Service) InForce() *config.Compiled { return s.inForce.Load() }
 
 // Ready reports whether there is a configuration and it is not known to be outdated. A router with an outdated
 // configuration would refuse valid keys and routes, and run requests that are no longer allowed.
@@ -306,8 +306,8 @@
 
 // compile combines the document, the catalog and the evacuations, and brings the result into force. The caller holds
 // the lock.
-func (s *Service) compile() *config.InForce {
-	c := s.file.With(config.Surroundings{
+func (s *Service) compile() *config.Compiled {
+	c := s.file.With(config.RuntimeState{
 		Catalog: s.catalog.held.GetRevision(), Discovered: discovered(s.withLapsed()),
 		Halls: s.halls.held.GetRevision(), Evacuated: s.halls.held.GetEvacuated(),
 	})
--- a/generation/recovery_test.go
+++ b/generation/recovery_test.go
@@ -195,7 +195,7 @@
 
 func (l *singleCore) Enqueue(e core.Event)         { l.events <- e }
 func (l *singleCore) Observe(o scheduler.Observer) { l.observer = o }
-func (l *singleCore) Configure(c *config.InForce)  { l.Enqueue(core.Configure{Config: c.Core}) }
+func (l *singleCore) Configure(c *config.Compiled) { l.Enqueue(core.Configure{Config: c.Core}) }
 
 // run steps the core with events and time until ctx ends.
 func (l *singleCore) run(ctx context.Context) {
--- a/generation/restarts_test.go
+++ b/generation/restarts_test.go
@@ -24,7 +24,7 @@
 // running returns the start time of the incarnation of a backend server that is in force, 0 for none, and the number
 // of its incarnations in force.
 func (s *Service) running(name string) (born uint64, found int) {
-	in := s.file.With(config.Surroundings{Catalog: s.catalog.held.GetRevision(), Discovered: discovered(s.withLapsed())})
+	in := s.file.With(config.RuntimeState{Catalog: s.catalog.held.GetRevision(), Discovered: discovered(s.withLapsed())})
 	for id, b := range in.Core.Backends {
 		if b.Name == name {
 			born, found = b.Born, found+1
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -199,7 +199,7 @@
 }
 
 // Configure puts a configuration in force.
-func (s *Service) Configure(c *config.InForce) {
+func (s *Service) Configure(c *config.Compiled) {
 	s.Enqueue(core.Configure{Config: c.Core})
 }
 
