--- a/daemon/build.go
+++ b/daemon/build.go
@@ -153,10 +153,10 @@
 		leave: routers.Leave,
 		keyService: func(peers *peer.Service, generations *generation.Service) kernel.Service {
 			keys := peerkey.New(peerkey.Settings{
-				Store: kv, Key: platform.PeerKeyKey, Held: key,
-				Take: func(key []byte) { peers.Rekey(key); maker.Rekey(key) },
+				Store: kv, Key: platform.PeerKeyKey, Current: key,
+				OnAdopt: func(key []byte) { peers.Rekey(key); maker.Rekey(key) },
 			}, log)
-			peers.OnForged(keys.Stranger)
+			peers.OnForged(keys.KeyMismatch)
 			metrics.Platform.Era.Set(float64(kv.Era()))
 			kv.FollowEras(&eraListener{log: log, metrics: metrics.Platform, keys: keys, generations: generations})
 			return keys
--- a/peer/call_test.go
+++ b/peer/call_test.go
@@ -71,7 +71,7 @@
 		is.Fail() // must not be called
 		return nil
 	})
-	is.True(errorx.IsOfType(err, Unreached))
+	is.True(errorx.IsOfType(err, Unreachable))
 }
 
 // TestCallsEndWithTheirContext guards against a call to a stopped router that outlasts its context.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -267,12 +267,12 @@
 )
 
 // Call connects to the router at address, an IP and port, and calls do with a client of
-// the connection. The error is that of do, or of type Unreached if there is no connection.
+// the connection. The error is that of do, or of type Unreachable if there is no connection.
 func (s *Service) Call(ctx context.Context, address string, do func(context.Context, wire.DRPCPeerClient) error) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return Unreached.Wrap(err, "connecting to %s", address)
+		return Unreachable.Wrap(err, "connecting to %s", address)
 	}
 	c := stall.New(raw, writeStall)
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -280,12 +280,12 @@
 	stop() // from here on drpc handles the end of the context
 	if err != nil {
 		_ = c.Close()
-		return Unreached.Wrap(err, "handshake with %s", address)
+		return Unreachable.Wrap(err, "handshake with %s", address)
 	}
 	conn := drpcconn.New(c)
 	defer func() { _ = conn.Close() }()
 	return do(telemetry.ToPeer(ctx), wire.NewDRPCPeerClient(conn))
 }
 
-// Unreached is the error for a call that was not sent, as there was no authenticated connection.
-var Unreached = namespace.NewType("unreached")
+// Unreachable is the error for a call that was not sent, as there was no authenticated connection.
+var Unreachable = namespace.NewType("unreached")
--- a/peerkey/peerkey.go
+++ b/peerkey/peerkey.go
@@ -45,11 +45,11 @@
 // Settings holds the settings of the service.
 type Settings struct {
 	Store store.Store
-	// Key is the store key of the peer key. Held is the value that this router has read or created there.
-	Key  string
-	Held store.Value
-	// Take is called with the new peer key when this router adopts another one.
-	Take func(key []byte)
+	// Key is the store key of the peer key. Current is the value that this router has read or created there.
+	Key     string
+	Current store.Value
+	// OnAdopt is called with the new peer key when this router adopts another one.
+	OnAdopt func(key []byte)
 }
 
 // Service checks and updates the peer key.
@@ -69,7 +69,7 @@
 
 // New returns the service.
 func New(settings Settings, log zerolog.Logger) *Service {
-	era := model.Version(settings.Held.Revision).Era()
+	era := model.Version(settings.Current.Revision).Era()
 	return &Service{
 		settings: settings, log: log, wake: make(chan struct{}, 1), ended: make(chan struct{}),
 		era: era, keyEra: era, recheckUntil: clock.System.Now() + recheckPeriod,
@@ -106,8 +106,8 @@
 	s.requestCheck()
 }
 
-// Stranger notifies the service of a received datagram that is not authenticated with this router's key.
-func (s *Service) Stranger() {
+// KeyMismatch notifies the service of a received datagram that is not authenticated with this router's key.
+func (s *Service) KeyMismatch() {
 	s.mu.Lock()
 	settled := clock.System.Now() > s.recheckUntil
 	s.mu.Unlock()
@@ -148,13 +148,13 @@
 	}
 	era := model.Version(stored.Revision).Era()
 	switch {
-	case stored.Revision != 0 && string(stored.Data) == string(s.settings.Held.Data):
+	case stored.Revision != 0 && string(stored.Data) == string(s.settings.Current.Data):
 		return nil
 	case stored.Revision != 0 && !s.mayReplace(era):
 		s.adopt(stored, era)
 		return nil
 	}
-	got, swapped, err := s.settings.Store.Swap(ctx, s.settings.Key, stored.Revision, s.settings.Held.Data)
+	got, swapped, err := s.settings.Store.Swap(ctx, s.settings.Key, stored.Revision, s.settings.Current.Data)
 	if err != nil {
 		return err
 	}
@@ -181,10 +181,10 @@
 
 // adopt makes the store's key this router's.
 func (s *Service) adopt(stored store.Value, era uint32) {
-	s.settings.Held = stored
+	s.settings.Current = stored
 	s.mu.Lock()
 	s.keyEra = era
 	s.mu.Unlock()
-	s.settings.Take(stored.Data)
+	s.settings.OnAdopt(stored.Data)
 	s.log.Warn().Uint32("era", era).Msg("adopted another peer key from the store")
 }
--- a/peerkey/peerkey_test.go
+++ b/peerkey/peerkey_test.go
@@ -78,7 +78,7 @@
 			era = shared.era
 		}
 		held := store.Value{Data: []byte(key), Revision: int64(model.VersionOf(era, 5))}
-		s := New(Settings{Store: shared, Held: held, Take: func([]byte) {}}, zerolog.Nop())
+		s := New(Settings{Store: shared, Current: held, OnAdopt: func([]byte) {}}, zerolog.Nop())
 		s.EraBegan(shared.era)
 		all = append(all, s)
 	}
@@ -87,7 +87,7 @@
 	}
 	remaining := map[string]bool{string(shared.data): true}
 	for _, s := range all {
-		remaining[string(s.settings.Held.Data)] = true
+		remaining[string(s.settings.Current.Data)] = true
 	}
 	return remaining
 }
--- a/status/status.go
+++ b/status/status.go
@@ -108,7 +108,7 @@
 	return &wire.DrainResponse{}, nil
 }
 
-// DrainRouter drains the named router, which may be this one. The error is peer.Unreached if
+// DrainRouter drains the named router, which may be this one. The error is peer.Unreachable if
 // no live router has the name.
 func (s *Service) DrainRouter(ctx context.Context, name string) error {
 	if name == s.self {
@@ -118,7 +118,7 @@
 	var address string
 	s.scheduler.Inspect(func(c *core.Core) { address = c.Address(name) })
 	if address == "" {
-		return peer.Unreached.New("no live router is named %q", name)
+		return peer.Unreachable.New("no live router is named %q", name)
 	}
 	return s.peers.Call(ctx, address, func(ctx context.Context, c wire.DRPCPeerClient) error {
 		_, err := c.Drain(ctx, &wire.DrainRequest{})
