--- a/daemon/build.go
+++ b/daemon/build.go
@@ -158,7 +158,7 @@
 			}, log)
 			peers.OnForged(keys.KeyMismatch)
 			metrics.Platform.Era.Set(float64(kv.Era()))
-			kv.FollowEras(&eraListener{log: log, metrics: metrics.Platform, keys: keys, generations: generations})
+			kv.ObserveEras(&eraListener{log: log, metrics: metrics.Platform, keys: keys, generations: generations})
 			return keys
 		},
 	}, nil
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -17,7 +17,7 @@
 	generations *generation.Service
 }
 
-// EraBegan implements platform.EraNotes.
+// EraBegan implements platform.EraObserver.
 func (e *eraListener) EraBegan(era uint32) {
 	e.log.Warn().Uint32("era", era).Msg("store restored from a backup")
 	e.metrics.Era.Set(float64(era))
@@ -25,10 +25,10 @@
 	e.generations.StoreReturned()
 }
 
-// EraRefused implements platform.EraNotes.
+// EraRefused implements platform.EraObserver.
 func (e *eraListener) EraRefused(err error) {
 	e.metrics.EraRefused.Inc()
 	e.log.Warn().Err(err).Msg("an answer of the store was refused for its era")
 }
 
-var _ platform.EraNotes = (*eraListener)(nil)
+var _ platform.EraObserver = (*eraListener)(nil)
--- a/generation/catalog.go
+++ b/generation/catalog.go
@@ -19,7 +19,7 @@
 	// List returns all announcements and their revision. A stale list may be seconds old and costs less.
 	List(ctx context.Context, stale bool) ([]Announcement, uint64, error)
 	// Changes waits for changes after a revision and returns them with the revision up to which they are complete.
-	// The error is of type store.Forgotten if the changes are no longer available and all announcements must be
+	// The error is of type store.Compacted if the changes are no longer available and all announcements must be
 	// listed again.
 	Changes(ctx context.Context, revision uint64) ([]Announcement, uint64, error)
 }
@@ -112,7 +112,7 @@
 	s.logWatch(callCtx, watchEnded{of: "backend-servers", began: began, since: since, changes: len(changes), err: err})
 	if err != nil {
 		s.metrics.StoreFailures.WithLabelValues("watch").Inc()
-		if errorx.IsOfType(err, store.Forgotten) {
+		if errorx.IsOfType(err, store.Compacted) {
 			return err
 		}
 		sleep(callCtx, p.afterFailure())
--- a/generation/halls.go
+++ b/generation/halls.go
@@ -18,7 +18,7 @@
 	// seconds old and costs less.
 	Read(ctx context.Context, stale bool) (Written, uint64, error)
 	// Changes waits for changes after a revision and returns them with the revision up to which they are complete.
-	// The error is of type store.Forgotten if the changes are no longer available and everything must be read again.
+	// The error is of type store.Compacted if the changes are no longer available and everything must be read again.
 	Changes(ctx context.Context, revision uint64) (Written, uint64, error)
 }
 
@@ -127,7 +127,7 @@
 	s.logWatch(callCtx, watchEnded{of: "operators", began: began, since: since, changes: written.changes(), err: err})
 	if err != nil {
 		s.metrics.StoreFailures.WithLabelValues("watch").Inc()
-		if errorx.IsOfType(err, store.Forgotten) {
+		if errorx.IsOfType(err, store.Compacted) {
 			return 0, err
 		}
 		sleep(callCtx, p.afterFailure())
--- a/generation/watch.go
+++ b/generation/watch.go
@@ -161,7 +161,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return "given-up"
-	case errorx.IsOfType(w.err, store.Forgotten):
+	case errorx.IsOfType(w.err, store.Compacted):
 		return "forgotten"
 	case w.err != nil:
 		return "failed"
--- a/store/etcd.go
+++ b/store/etcd.go
@@ -122,7 +122,7 @@
 // Ping implements Store.
 func (s *Etcd) Ping(ctx context.Context) error {
 	var out rangeResponse
-	return s.call(ctx, "/v3/kv/range", rangeRequest{Key: []byte(pingKey)}, &out, PingPatience)
+	return s.call(ctx, "/v3/kv/range", rangeRequest{Key: []byte(pingKey)}, &out, PingReadTimeout)
 }
 
 // Swap implements Store.
--- a/store/store.go
+++ b/store/store.go
@@ -17,18 +17,18 @@
 	Unavailable = namespace.NewType("unavailable")
 	// Ambiguous is the error of a call whose response was lost: it may have taken effect, or still do so.
 	Ambiguous = namespace.NewType("ambiguous")
-	// Forgotten is the error of a request for changes that the store no longer has: the current state must be read
+	// Compacted is the error of a request for changes that the store no longer has: the current state must be read
 	// again.
-	Forgotten = namespace.NewType("forgotten")
+	Compacted = namespace.NewType("forgotten")
 )
 
 // PingTimeout is the time-out of a ping. A slow store answers in half of it.
 const PingTimeout = 600 * time.Millisecond
 
-// PingPatience is the time-out that an adapter uses for a ping. It must be shorter than PingTimeout: only when its
+// PingReadTimeout is the time-out that an adapter uses for a ping. It must be shorter than PingTimeout: only when its
 // own time-out ends does the adapter detect that the connection is unresponsive, and discard its idle connections,
 // which may be as well.
-const PingPatience = PingTimeout - 100*time.Millisecond
+const PingReadTimeout = PingTimeout - 100*time.Millisecond
 
 // Value is the value of a key. A value of revision 0 does not exist.
 type Value struct {
