--- a/admin/admin.go
+++ b/admin/admin.go
@@ -321,7 +321,7 @@
 		writeError(ctx, fasthttp.StatusUnprocessableEntity, invalidFile(findings))
 	case errorx.IsOfType(err, generation.Conflict):
 		writeError(ctx, fasthttp.StatusConflict, Error{Code: CodeConflict, Message: err.Error()})
-	case errorx.IsOfType(err, generation.Unknown):
+	case errorx.IsOfType(err, generation.OutcomeUnknown):
 		writeError(ctx, fasthttp.StatusGatewayTimeout, Error{Code: CodeUnknown, Message: err.Error()})
 	case errorx.IsOfType(err, store.Unavailable):
 		writeError(ctx, fasthttp.StatusServiceUnavailable, Error{Code: CodeUnavailable, Message: err.Error()})
--- a/blame/blame.go
+++ b/blame/blame.go
@@ -29,7 +29,7 @@
 type Tracker struct {
 	Scheduler    Scheduler
 	Servers      Servers
-	Fingerprints fingerprint.Maker
+	Fingerprints fingerprint.Hasher
 	Ended        prometheus.Counter // answers interrupted because their backend server ended
 }
 
--- a/config/check/ts2002/ts2002.go
+++ b/config/check/ts2002/ts2002.go
@@ -26,7 +26,7 @@
 	}
 	seen := map[key]string{}
 	for _, n := range p.Names() {
-		k := key{n.Kind, model.HashName(n.Name)}
+		k := key{n.Kind, model.NameHash(n.Name)}
 		if other, ok := seen[k]; ok && other != n.Name {
 			p.Report(n.Path, "%q has the same hash as the %s %q", n.Name, n.Kind, other)
 		}
--- a/core/loads.go
+++ b/core/loads.go
@@ -179,7 +179,7 @@
 	self := c.members.Self()
 	out := encodeLoadReport(report)
 	out.Suspicions = encodeSuspicions(c.now, c.suspicions.book.TakeDue(c.now))
-	out.Router = model.HashName(self.Name)
+	out.Router = model.NameHash(self.Name)
 	out.Process = uint32(self.Boot)
 	out.Sequence = c.loads.sequence
 	return out
@@ -263,7 +263,7 @@
 	}
 	clear(c.loads.names)
 	for _, name := range c.members.Names() {
-		c.loads.names[model.HashName(name)] = name
+		c.loads.names[model.NameHash(name)] = name
 	}
 	return c.members.Get(c.loads.names[router])
 }
@@ -271,7 +271,7 @@
 // receiveLoads processes the load messages that another router has sent or forwarded.
 func (c *Core) receiveLoads(d *wire.Datagram) {
 	self := c.members.Self()
-	own, process := model.HashName(self.Name), uint32(self.Boot)
+	own, process := model.NameHash(self.Name), uint32(self.Boot)
 	if d.LoadsTo == wire.PassOn_PASS_ON_ALL {
 		c.loads.relayClients[d.From] = c.now
 		c.loads.presence.lastReceived[d.From] = c.now
--- a/core/overdue.go
+++ b/core/overdue.go
@@ -103,7 +103,7 @@
 	if !c.members.Get(name).Alive() {
 		delete(o.alive, name)
 		delete(o.lastReport, name)
-		delete(o.dropped, model.HashName(name))
+		delete(o.dropped, model.NameHash(name))
 		return change, false
 	}
 	if _, known := o.alive[name]; !known {
@@ -123,13 +123,13 @@
 		return change, true
 	}
 	delete(o.lastReport, name)
-	delete(o.dropped, model.HashName(name))
+	delete(o.dropped, model.NameHash(name))
 	change.Resumed, change.Silence = true, at-since
 	return change, true
 }
 
 func (c *Core) overdueChange(name string, last prompt.PeerContact) LoadsOverdue {
-	dropped := c.overdue.dropped[model.HashName(name)]
+	dropped := c.overdue.dropped[model.NameHash(name)]
 	out := LoadsOverdue{
 		Router: name, Sequence: last.Sequence, Relay: c.loads.link.relay,
 		Dropped: dropped.count, Reason: dropped.reason,
--- a/core/overdue_test.go
+++ b/core/overdue_test.go
@@ -21,7 +21,7 @@
 	f.sendOne(silenced)
 	f.runUntil(f.time.Now() + 300*time.Millisecond)
 	f.modify = func(d *wire.Datagram) *wire.Datagram {
-		d.Loads = slices.DeleteFunc(d.Loads, func(l *wire.Loads) bool { return l.Router == model.HashName(silenced.name) })
+		d.Loads = slices.DeleteFunc(d.Loads, func(l *wire.Loads) bool { return l.Router == model.NameHash(silenced.name) })
 		return d
 	}
 	reported := map[bool]int{}
--- a/core/presence.go
+++ b/core/presence.go
@@ -124,7 +124,7 @@
 			delete(lastReceived, name)
 			continue
 		}
-		out = append(out, model.HashName(name))
+		out = append(out, model.NameHash(name))
 	}
 	slices.Sort(out)
 	return out
--- a/core/reportdelivery_test.go
+++ b/core/reportdelivery_test.go
@@ -152,7 +152,7 @@
 	f := loadedFleet(9, 100_000)
 	f.sendLong(f.routers[2])
 	f.runUntil(f.time.Now() + 200*time.Millisecond)
-	late := &wire.Loads{Router: model.HashName(f.routers[2].name), Process: 77, Sequence: 1000}
+	late := &wire.Loads{Router: model.NameHash(f.routers[2].name), Process: 77, Sequence: 1000}
 	is.True(f.routers[5].core.applyLoadReport(late))
 	f.runUntil(f.time.Now() + 3*time.Second)
 	is.Equal(f.routers[5].core.prompt.LastContact(f.routers[2].name).Process, uint32(f.routers[2].boot))
--- a/core/reportrequests.go
+++ b/core/reportrequests.go
@@ -78,7 +78,7 @@
 		c.probeDead(name)
 		return
 	}
-	request := &wire.Loads{Router: model.HashName(name), Process: uint32(m.Boot), Sequence: c.prompt.LastContact(name).Sequence}
+	request := &wire.Loads{Router: model.NameHash(name), Process: uint32(m.Boot), Sequence: c.prompt.LastContact(name).Sequence}
 	c.announceSelf(name)
 	c.appendLoads(name, []*wire.Loads{request}, wire.PassOn_PASS_ON_NOBODY)
 }
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -118,7 +118,7 @@
 		source:  generation.Source{Store: store.NewEtcd(s.Store)},
 		routers: vmlist.NewHTTP(s.VMList),
 		key:     s.PeerKey,
-		callers: front.New(s.CallerListen, s.CallerStall, fingerprint.NewMaker([]byte(s.PeerKey)), log, metrics),
+		callers: front.New(s.CallerListen, s.CallerStall, fingerprint.NewHasher([]byte(s.PeerKey)), log, metrics),
 		leave:   func(context.Context) error { return nil },
 	}
 }
@@ -130,7 +130,7 @@
 		return environment{}, err
 	}
 	log.Info().Msg("peer key read from the store")
-	maker := fingerprint.NewMaker(key.Data)
+	maker := fingerprint.NewHasher(key.Data)
 	routers := &platform.Routers{Store: kv, Self: vmlist.VM{
 		Name: s.Name, Address: s.PeerListen, DataHall: s.DataHall, Role: vmlist.RoleRouter, State: vmlist.StateLive,
 		Processor: s.Processor,
--- a/daemon/eras.go
+++ b/daemon/eras.go
@@ -22,7 +22,7 @@
 	e.log.Warn().Uint32("era", era).Msg("store restored from a backup")
 	e.metrics.Era.Set(float64(era))
 	e.keys.EraBegan(era)
-	e.generations.StoreReturned()
+	e.generations.StoreRestored()
 }
 
 // EraRefused implements platform.EraObserver.
--- a/fingerprint/fingerprint.go
+++ b/fingerprint/fingerprint.go
@@ -29,18 +29,18 @@
 	Body    []byte
 }
 
-// Maker computes fingerprints with the peer key.
-type Maker struct{ key *atomic.Pointer[[]byte] }
+// Hasher computes fingerprints with the peer key.
+type Hasher struct{ key *atomic.Pointer[[]byte] }
 
-// NewMaker returns a Maker with the peer key, which all routers share.
-func NewMaker(key []byte) Maker {
-	m := Maker{key: &atomic.Pointer[[]byte]{}}
+// NewHasher returns a Hasher with the peer key, which all routers share.
+func NewHasher(key []byte) Hasher {
+	m := Hasher{key: &atomic.Pointer[[]byte]{}}
 	m.Rekey(key)
 	return m
 }
 
 // Rekey replaces the peer key. Earlier fingerprints can no longer be compared with new ones.
-func (m Maker) Rekey(key []byte) {
+func (m Hasher) Rekey(key []byte) {
 	derived := hmac.New(sha256.New, key)
 	_, _ = derived.Write([]byte(purpose))
 	sum := derived.Sum(nil)
@@ -49,7 +49,7 @@
 
 // Of returns the fingerprint of a request. It takes about 8 microseconds for a body of 10 kB (BenchmarkOf), and is
 // called only for requests that broke off, or whose client account has a request that ended a backend server.
-func (m Maker) Of(r Request) model.Fingerprint {
+func (m Hasher) Of(r Request) model.Fingerprint {
 	h := hmac.New(sha256.New, *m.key.Load())
 	for _, field := range [][]byte{[]byte(r.Account), r.Host, r.Method, r.Path, r.Body} {
 		// The length prefix makes the boundaries between fields unambiguous.
--- a/fingerprint/fingerprint_test.go
+++ b/fingerprint/fingerprint_test.go
@@ -9,7 +9,7 @@
 
 func TestFieldsAreDistinguished(t *testing.T) {
 	is := is.New(t)
-	m := NewMaker([]byte("a key"))
+	m := NewHasher([]byte("a key"))
 	first := Request{Account: "league", Path: []byte("/ab"), Body: []byte("c")}
 	again := Request{Account: "league", Path: []byte("/ab"), Body: []byte("c")}
 	is.Equal(m.Of(first), m.Of(again))
@@ -22,11 +22,11 @@
 	for _, other := range others {
 		is.True(m.Of(other) != m.Of(first))
 	}
-	is.True(NewMaker([]byte("another key")).Of(first) != m.Of(first))
+	is.True(NewHasher([]byte("another key")).Of(first) != m.Of(first))
 }
 
 func BenchmarkOf(b *testing.B) {
-	m := NewMaker([]byte("a key"))
+	m := NewHasher([]byte("a key"))
 	r := Request{Account: "league", Path: []byte("/chat/"), Body: bytes.Repeat([]byte("x"), 10_000)}
 	for b.Loop() {
 		m.Of(r)
--- a/front/front.go
+++ b/front/front.go
@@ -46,7 +46,7 @@
 	// writeTimeout is how long the write of a response may make no progress.
 	writeTimeout time.Duration
 	// fingerprints computes the fingerprints of requests, with the same results on all routers.
-	fingerprints fingerprint.Maker
+	fingerprints fingerprint.Hasher
 	log          zerolog.Logger
 	metrics      *telemetry.Metrics
 
@@ -68,7 +68,7 @@
 
 // New returns a Service that listens on an IP address and port. writeTimeout is how long the write of a response may
 // make no progress.
-func New(listen string, writeTimeout time.Duration, fingerprints fingerprint.Maker, log zerolog.Logger, metrics *telemetry.Metrics) *Service {
+func New(listen string, writeTimeout time.Duration, fingerprints fingerprint.Hasher, log zerolog.Logger, metrics *telemetry.Metrics) *Service {
 	return &Service{listen: listen, writeTimeout: writeTimeout, fingerprints: fingerprints, log: log, metrics: metrics, stopped: make(chan struct{})}
 }
 
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -120,7 +120,7 @@
 // admissionRequest returns the input of the gate for this request.
 func (a *attempt) admissionRequest() admission.Request {
 	return admission.Request{
-		Account: a.account, Route: model.HashName(a.route.Name), DecisionBudget: a.decideWithin(),
+		Account: a.account, Route: model.NameHash(a.route.Name), DecisionBudget: a.decideWithin(),
 		Stream: a.route.Through.Streaming, Objective: a.route.Through.Objective, SchedulingDelay: a.service.scheduler.MeanLag(),
 		FirstOnConn: a.conn.writes.idle == 0,
 	}
@@ -144,7 +144,7 @@
 	s.metrics.Front.RefusedUnread.WithLabelValues(string(verdict.Reason)).Inc()
 	s.scheduler.ReportUnread(core.UnreadRequest{
 		Account: a.account, Pool: a.route.PoolFor(rand.Float64()),
-		Route: model.HashName(a.route.Name), Prompt: a.meta.Prompt,
+		Route: model.NameHash(a.route.Name), Prompt: a.meta.Prompt,
 	})
 	if n, last := s.admitter.countRefusal(a.account); n > 0 {
 		a.logRefusedByHeader(n, verdict, last)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -209,7 +209,7 @@
 			Input:   float64(a.meta.Prompt.Tokens),
 			Wait:    a.left(),
 
-			Route:     model.HashName(a.route.Name),
+			Route:     model.NameHash(a.route.Name),
 			Prompt:    a.meta.Prompt,
 			Objective: a.route.Through.Objective,
 			Priority:  a.route.Through.Priority,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -66,7 +66,7 @@
 	// WriteTimeout is how long the write of a response may make no progress.
 	WriteTimeout time.Duration
 	// Fingerprints computes the fingerprints of requests, with the same results on all routers.
-	Fingerprints fingerprint.Maker
+	Fingerprints fingerprint.Hasher
 }
 
 // Service accepts callers' connections and serves their requests.
--- a/generation/apply.go
+++ b/generation/apply.go
@@ -46,7 +46,7 @@
 		select {
 		case <-ctx.Done():
 			if sent {
-				return 0, Unknown.New("the store's answer is lost and it can't be read back")
+				return 0, OutcomeUnknown.New("the store's answer is lost and it can't be read back")
 			}
 			return 0, store.Unavailable.Wrap(err, "nothing was applied")
 		case <-time.After(retryPause):
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -55,9 +55,9 @@
 	namespace = errorx.NewNamespace("generation")
 	// Conflict is the error of an apply whose base is no longer the last generation.
 	Conflict = namespace.NewType("conflict")
-	// Unknown is the error of an apply whose outcome could not be determined. The apply can be retried with the same
+	// OutcomeUnknown is the error of an apply whose outcome could not be determined. The apply can be retried with the same
 	// identifier.
-	Unknown = namespace.NewType("unknown")
+	OutcomeUnknown = namespace.NewType("unknown")
 	// ReadOnly is the error of an apply where the configuration is written to the store by another system.
 	ReadOnly = namespace.NewType("foreign")
 )
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// Compiled returns the configuration in force, nil if there is none.
+// InForce returns the configuration in force, nil if there is none.
 func (s *Service) InForce() *config.Compiled { return s.inForce.Load() }
 
 // Ready reports whether there is a configuration and it is not known to be outdated. A router with an outdated
--- a/generation/restarts.go
+++ b/generation/restarts.go
@@ -16,7 +16,7 @@
 	old := entriesByName(before)
 	for _, e := range after.GetEntries() {
 		o := old[e.Name]
-		if o == nil || !incarnationOf(e).Follows(incarnationOf(o)) {
+		if o == nil || !incarnationOf(e).IsRestartOf(incarnationOf(o)) {
 			continue
 		}
 		s.metrics.Restarts.Inc()
--- a/generation/settle.go
+++ b/generation/settle.go
@@ -67,7 +67,7 @@
 		name := a.Backend.Name
 		listed[name] = true
 		switch old, had := before[name]; {
-		case had && (old.Leaving && !a.Backend.Leaving || a.Backend.Follows(incarnationOf(old))):
+		case had && (old.Leaving && !a.Backend.Leaving || a.Backend.IsRestartOf(incarnationOf(old))):
 			kept[name] = old
 		case !had && time.Since(c.departed[name]) < departedRetention:
 			kept[name] = nil
--- a/generation/watch.go
+++ b/generation/watch.go
@@ -55,9 +55,9 @@
 	w.ctx, w.cancel = context.WithCancel(s.run)
 }
 
-// StoreReturned ends all pending calls of the store after it was restored from a backup: a watch that began before
+// StoreRestored ends all pending calls of the store after it was restored from a backup: a watch that began before
 // returns no changes.
-func (s *Service) StoreReturned() {
+func (s *Service) StoreRestored() {
 	if s.run != nil {
 		s.cancelStoreCalls()
 	}
--- a/model/incarnation.go
+++ b/model/incarnation.go
@@ -20,7 +20,7 @@
 	return Backend(i.Name + "\x00" + strconv.FormatUint(i.Born, 10))
 }
 
-// Follows reports whether this is another incarnation of the same backend server.
-func (i Incarnation) Follows(before Incarnation) bool {
+// IsRestartOf reports whether this is another incarnation of the same backend server.
+func (i Incarnation) IsRestartOf(before Incarnation) bool {
 	return i.Name == before.Name && i.Born != before.Born
 }
--- a/model/model.go
+++ b/model/model.go
@@ -94,19 +94,19 @@
 	return cmp.Or(cmp.Compare(k.Pool, other.Pool), cmp.Compare(k.Account, other.Account))
 }
 
-// HashName returns the 32-bit hash of a name that identities consist of.
-func HashName(name string) uint32 {
+// NameHash returns the 32-bit hash of a name that identities consist of.
+func NameHash(name string) uint32 {
 	return uint32(xxhash.Sum64String(name))
 }
 
 // Account returns the identity of the named client account.
-func Account(name string) AccountID { return AccountID(HashName(name)) }
+func Account(name string) AccountID { return AccountID(NameHash(name)) }
 
 // Pool returns the identity of the named pool.
-func Pool(name string) PoolID { return PoolID(HashName(name)) }
+func Pool(name string) PoolID { return PoolID(NameHash(name)) }
 
 // Backend returns the identity of the named backend server.
-func Backend(name string) BackendID { return BackendID(HashName(name)) }
+func Backend(name string) BackendID { return BackendID(NameHash(name)) }
 
 // Rendezvous returns the weight of a member for a subject under highest
 // random weight hashing. The member with the highest weight is assigned the subject.
