--- a/admin/admin.go
+++ b/admin/admin.go
@@ -119,8 +119,10 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return []string{status.ServiceName, generation.ServiceName} }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string {
+	return []string{status.ServiceName, generation.ServiceName}
+}
 
 // newServer returns a server with a timeout for reading a request, including the first one of a connection.
 func newServer(handler fasthttp.RequestHandler, timeout time.Duration) *fasthttp.Server {
--- a/back/back.go
+++ b/back/back.go
@@ -37,8 +37,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return nil }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string { return nil }
 
 // Start implements kernel.Service.
 func (s *Service) Start(context.Context, *kernel.Kernel) error { return nil }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -97,8 +97,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return []string{peer.ServiceName, scheduler.ServiceName} }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string { return []string{peer.ServiceName, scheduler.ServiceName} }
 
 // Start implements kernel.Service.
 func (s *Service) Start(ctx context.Context, k *kernel.Kernel) error {
--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -38,7 +38,7 @@
 func settledAtEnd() *policy.Policy {
 	p := *fleetfair.Policy
 	p.Name = "settled at the end"
-	p.SettleAtEnd = true
+	p.ChargeExpected = true
 	return &p
 }
 
--- a/core/charge.go
+++ b/core/charge.go
@@ -19,7 +19,7 @@
 
 // ahead returns the part of a running request's expected remaining output that the policy counts.
 func (c *Core) ahead(r *request, output float64) float64 {
-	if c.config.Policy.SettleAtEnd {
+	if c.config.Policy.ChargeExpected {
 		return r.expected - output
 	}
 	return min(c.lengths(r).Remaining(output), c.config.Policy.LookAhead)
--- a/core/slots.go
+++ b/core/slots.go
@@ -20,7 +20,7 @@
 // own starts accounting for a backend server, or applies a change of its slots.
 func (c *Core) own(id model.BackendID, routers, rank int) {
 	conf := c.config.Backends[id]
-	slots := c.config.Policy.Slots(policy.Share{Backend: id, Slots: conf.Slots, Routers: routers, Rank: rank})
+	slots := c.config.Policy.GrantableSlots(policy.Share{Backend: id, Slots: conf.Slots, Routers: routers, Rank: rank})
 	b := c.backends[id]
 	if b == nil {
 		b = &backend{id: id, limit: slots, ready: c.now + recovery, peakSince: c.now}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -51,8 +51,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return []string{scheduler.ServiceName} }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string { return []string{scheduler.ServiceName} }
 
 // Start implements kernel.Service. It doesn't wait for the first list.
 func (s *Service) Start(ctx context.Context, k *kernel.Kernel) error {
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -63,8 +63,8 @@
 // Name implements kernel.Service.
 func (l *Loads) Name() string { return LoadsName }
 
-// Needs implements kernel.Service.
-func (l *Loads) Needs() []string { return []string{scheduler.ServiceName} }
+// Dependencies implements kernel.Service.
+func (l *Loads) Dependencies() []string { return []string{scheduler.ServiceName} }
 
 // Start implements kernel.Service.
 func (l *Loads) Start(ctx context.Context, k *kernel.Kernel) error {
--- a/front/front.go
+++ b/front/front.go
@@ -75,8 +75,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string {
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string {
 	return []string{
 		scheduler.ServiceName, generation.ServiceName, claim.ServiceName, back.ServiceName, telemetry.TracesName,
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -109,8 +109,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string {
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string {
 	return []string{scheduler.ServiceName, generation.ServiceName, back.ServiceName}
 }
 
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -170,8 +170,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string {
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string {
 	return []string{peer.ServiceName, scheduler.ServiceName, "fleet"}
 }
 
--- a/heldstore/heldstore.go
+++ b/heldstore/heldstore.go
@@ -73,8 +73,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return []string{scheduler.ServiceName} }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string { return []string{scheduler.ServiceName} }
 
 // Start implements kernel.Service. It does not wait for the store.
 func (s *Service) Start(ctx context.Context, k *kernel.Kernel) error {
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -16,8 +16,8 @@
 type Service interface {
 	// Name returns the name that the service is registered under.
 	Name() string
-	// Needs returns the names of the services that must be started before it.
-	Needs() []string
+	// Dependencies returns the names of the services that must be started before it.
+	Dependencies() []string
 	// Start returns once the service is usable.
 	Start(ctx context.Context, k *Kernel) error
 	// Stop returns once the service has stopped. It is called only after a
@@ -130,7 +130,7 @@
 			return Cycle.New("cyclic dependency of services: %s", strings.Join(path, ", "))
 		}
 		state[name] = 1
-		for _, dependency := range s.Needs() {
+		for _, dependency := range s.Dependencies() {
 			if err := visit(dependency, path); err != nil {
 				return err
 			}
--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -18,8 +18,8 @@
 	events      *[]string
 }
 
-func (f *fake) Name() string    { return f.name }
-func (f *fake) Needs() []string { return f.needs }
+func (f *fake) Name() string           { return f.name }
+func (f *fake) Dependencies() []string { return f.needs }
 
 func (f *fake) Start(context.Context, *Kernel) error {
 	*f.events = append(*f.events, "start "+f.name)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -73,8 +73,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return nil }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string { return nil }
 
 // OnDatagram sets the handler of accepted datagrams. Without a handler they are dropped.
 func (s *Service) OnDatagram(onDatagram func(*wire.Datagram)) {
--- a/peerkey/peerkey.go
+++ b/peerkey/peerkey.go
@@ -79,8 +79,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return nil }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string { return nil }
 
 // Start implements kernel.Service.
 func (s *Service) Start(ctx context.Context, _ *kernel.Kernel) error {
--- a/policy/leastloaded/leastloaded.go
+++ b/policy/leastloaded/leastloaded.go
@@ -13,6 +13,6 @@
 			"to the router. Nothing waits in the routers, so the engines' own queues decide the order.",
 		Since: "0.1",
 	},
-	Order: policy.ByArrival,
-	Slots: func(policy.Share) int { return policy.Unlimited },
+	Order:          policy.ByArrival,
+	GrantableSlots: func(policy.Share) int { return policy.Unlimited },
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -48,15 +48,15 @@
 	// the requests that it received itself.
 	Owned bool
 	Order Order
-	// Slots returns the number of a backend server's slots that the router grants.
-	Slots func(Share) int
+	// GrantableSlots returns the number of a backend server's slots that the router grants.
+	GrantableSlots func(Share) int
 	// FollowLoad reports whether the slots are reduced while the engine reports a queue.
 	FollowLoad bool
 	// LookAhead limits the expected remaining output that a running request is charged
 	// in advance, in tokens; see package fleetfair.
 	LookAhead float64
-	// SettleAtEnd reports whether a request is charged its whole expected cost until it ends.
-	SettleAtEnd bool
+	// ChargeExpected reports whether a request is charged its whole expected cost until it ends.
+	ChargeExpected bool
 	// CatchUpTokens is the difference in service between two waiting accounts, in tokens at
 	// weight 1, above which a part of the grants goes to the account that has waited longest without one, so
 	// that the one ahead doesn't starve while the other catches up. 0 for none.
--- a/policy/promptaffinity/promptaffinity.go
+++ b/policy/promptaffinity/promptaffinity.go
@@ -19,7 +19,7 @@
 			"capacity would idle.",
 		Since: "0.2",
 	},
-	Order:    policy.ByArrival,
-	Slots:    func(policy.Share) int { return policy.Unlimited },
-	ByPrompt: &prompt.Tuning{},
+	Order:          policy.ByArrival,
+	GrantableSlots: func(policy.Share) int { return policy.Unlimited },
+	ByPrompt:       &prompt.Tuning{},
 }
--- a/policy/staticsplit/staticsplit.go
+++ b/policy/staticsplit/staticsplit.go
@@ -14,8 +14,8 @@
 			"and accounts fall behind where accounts are spread unevenly over the routers.",
 		Since: "0.1",
 	},
-	Order: policy.ByRouterService,
-	Slots: slots,
+	Order:          policy.ByRouterService,
+	GrantableSlots: slots,
 	// As for fleet-fair, so that the two don't differ in this.
 	LookAhead: 100,
 }
--- a/scheduler/afterstart_test.go
+++ b/scheduler/afterstart_test.go
@@ -22,7 +22,7 @@
 }
 
 func (slowObserver) Name() string               { return "late" }
-func (slowObserver) Needs() []string            { return []string{ServiceName} }
+func (slowObserver) Dependencies() []string     { return []string{ServiceName} }
 func (slowObserver) Stop(context.Context) error { return nil }
 
 func (o slowObserver) Start(_ context.Context, k *kernel.Kernel) error {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -125,8 +125,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string { return []string{peer.ServiceName} }
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string { return []string{peer.ServiceName} }
 
 // Start implements kernel.Service.
 func (s *Service) Start(ctx context.Context, k *kernel.Kernel) error {
--- a/status/status.go
+++ b/status/status.go
@@ -47,8 +47,8 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Needs implements kernel.Service.
-func (s *Service) Needs() []string {
+// Dependencies implements kernel.Service.
+func (s *Service) Dependencies() []string {
 	return []string{
 		scheduler.ServiceName, generation.ServiceName, claim.ServiceName, peer.ServiceName, fleet.ServiceName,
 		telemetry.TracesName,
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -36,8 +36,8 @@
 // Name implements kernel.Service.
 func (t *Traces) Name() string { return TracesName }
 
-// Needs implements kernel.Service.
-func (t *Traces) Needs() []string { return nil }
+// Dependencies implements kernel.Service.
+func (t *Traces) Dependencies() []string { return nil }
 
 // Start implements kernel.Service.
 func (t *Traces) Start(ctx context.Context, _ *kernel.Kernel) error {
