--- a/admin/admin.go
+++ b/admin/admin.go
@@ -147,7 +147,7 @@
 	s.server = newServer(s.routes().Handler, readTimeout)
 	go func() {
 		defer close(s.done)
-		_ = s.server.Serve(stall.Listener{Listener: socket.RetryListener{Listener: s.listener}, Patience: writeStall})
+		_ = s.server.Serve(stall.Listener{Listener: socket.RetryListener{Listener: s.listener}, WriteTimeout: writeStall})
 	}()
 	return nil
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// Answer handles a claim that another router forwarded.
-func (s *Service) Answer(ctx context.Context, in *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+// HandleClaim handles a claim that another router forwarded.
+func (s *Service) HandleClaim(ctx context.Context, in *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	if len(in.Key) != len(Key{}) || len(in.Holder) != len(Holder{}) {
 		return nil, peer.Malformed.New("claim with a key of %d bytes and a holder of %d bytes", len(in.Key), len(in.Holder))
 	}
--- a/front/front.go
+++ b/front/front.go
@@ -104,7 +104,7 @@
 	}
 	go func() {
 		defer close(s.stopped)
-		_ = s.server.Serve(stall.Listener{Listener: socket.RetryListener{Listener: listener}, Patience: s.writeTimeout})
+		_ = s.server.Serve(stall.Listener{Listener: socket.RetryListener{Listener: listener}, WriteTimeout: s.writeTimeout})
 	}()
 	return nil
 }
--- a/gateway/inflight_test.go
+++ b/gateway/inflight_test.go
@@ -31,7 +31,7 @@
 	short, long := serve(2*time.Second), serve(time.Minute)
 	awake += time.Second
 	asleep += 10 * time.Second
-	is.Equal(s.clock.Look(), 10*time.Second)
+	is.Equal(s.clock.Refresh(), 10*time.Second)
 	s.inFlight.cancelExpired()
 	is.True(short.ctx.Err() != nil)
 	is.True(!short.callerLeft()) // it gets a response, as its deadline has passed
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -66,7 +66,7 @@
 	}
 	ticker := time.NewTicker(workInterval)
 	defer ticker.Stop()
-	last, err := usage.Processor()
+	last, err := usage.ProcessorTime()
 	if err != nil {
 		log.Warn().Err(err).Msg("reading the processor time used failed")
 	}
@@ -81,7 +81,7 @@
 		for kind, n := range done {
 			counters[kind].Add(float64(n))
 		}
-		used, err := usage.Processor()
+		used, err := usage.ProcessorTime()
 		if err != nil {
 			continue
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -3,7 +3,7 @@
 // The runtime's monotonic clock stops while a VM is suspended. Leases, deadlines and the ages of other processes'
 // states that are measured with it would not advance during a suspension of an hour. The wall clock advances, but may
 // be set. CLOCK_BOOTTIME of Linux is monotonic and includes suspensions, but reading it requires a system call.
-// Therefore a Clock reads it from time to time (see Look) and adds the time of suspensions to the monotonic clock.
+// Therefore a Clock reads it from time to time (see Refresh) and adds the time of suspensions to the monotonic clock.
 package clock
 
 import (
@@ -68,9 +68,9 @@
 // Until returns the time remaining until at.
 func (c *Clock) Until(at time.Duration) time.Duration { return at - c.Now() }
 
-// Look reads the boot clock, unless it was read within the minimum interval, and returns the time of suspensions
+// Refresh reads the boot clock, unless it was read within the minimum interval, and returns the time of suspensions
 // since the previous read. It must be called by only one goroutine.
-func (c *Clock) Look() time.Duration {
+func (c *Clock) Refresh() time.Duration {
 	monotonic := c.monotonic()
 	if monotonic-time.Duration(c.lastRead.Load()) < minReadInterval {
 		return 0
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -29,18 +29,18 @@
 	c := m.clock()
 	at := c.Now()
 	m.running += time.Second
-	is.Equal(c.Look(), time.Duration(0))
+	is.Equal(c.Refresh(), time.Duration(0))
 	is.Equal(c.Since(at), time.Second)
 	m.suspended += 5 * time.Second
 	m.running += minReadInterval
-	is.Equal(c.Look(), 5*time.Second)
+	is.Equal(c.Refresh(), 5*time.Second)
 	is.Equal(c.Since(at), 6*time.Second+minReadInterval)
 	is.Equal(c.Until(at+7*time.Second), time.Second-minReadInterval)
 	m.running += minReadInterval
-	is.Equal(c.Look(), time.Duration(0)) // reported once
+	is.Equal(c.Refresh(), time.Duration(0)) // reported once
 	m.suspended += 2 * time.Second
 	m.running += minReadInterval
-	is.Equal(c.Look(), 2*time.Second)
+	is.Equal(c.Refresh(), 2*time.Second)
 }
 
 func TestSmallDifferencesAreNotSuspensions(t *testing.T) {
@@ -49,7 +49,7 @@
 	c := m.clock()
 	m.running += time.Second
 	m.suspended = minSuspension / 2
-	is.Equal(c.Look(), time.Duration(0))
+	is.Equal(c.Refresh(), time.Duration(0))
 	is.Equal(c.Now(), time.Second)
 }
 
@@ -58,7 +58,7 @@
 	m := &fakeVM{noBootClock: true}
 	c := m.clock()
 	m.running += time.Second
-	is.Equal(c.Look(), time.Duration(0))
+	is.Equal(c.Refresh(), time.Duration(0))
 	is.Equal(c.Now(), time.Second)
 }
 
@@ -66,6 +66,6 @@
 	is := is.New(t)
 	at := System.Now()
 	time.Sleep(2 * minReadInterval)
-	System.Look()
+	System.Refresh()
 	is.True(System.Since(at) >= 2*minReadInterval)
 }
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -13,9 +13,9 @@
 	"github.com/joomcode/errorx"
 )
 
-// Longest is the longest time that Parse returns; larger values are reduced to it, so that a server that says a year by
+// Max is the longest time that Parse returns; larger values are reduced to it, so that a server that says a year by
 // mistake receives requests again after this time.
-const Longest = 10 * time.Minute
+const Max = 10 * time.Minute
 
 // The errors of Parse.
 var (
@@ -26,7 +26,7 @@
 	NotPositive = namespace.NewType("not_positive")
 )
 
-// Parse returns the duration given by a value of the header, at most Longest.
+// Parse returns the duration given by a value of the header, at most Max.
 func Parse(value string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(seconds) {
@@ -35,8 +35,8 @@
 	if seconds <= 0 {
 		return 0, NotPositive.New("%q isn't positive", value)
 	}
-	if seconds >= Longest.Seconds() {
-		return Longest, nil
+	if seconds >= Max.Seconds() {
+		return Max, nil
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -16,9 +16,9 @@
 	}{
 		{"3", 3 * time.Second, nil},
 		{" 0.25 ", 250 * time.Millisecond, nil},
-		{"1e9", Longest, nil},
-		{"+Inf", Longest, nil},
-		{"31536000", Longest, nil},
+		{"1e9", Max, nil},
+		{"+Inf", Max, nil},
+		{"31536000", Max, nil},
 		{"0", 0, NotPositive},
 		{"-2", 0, NotPositive},
 		{"-Inf", 0, NotPositive},
@@ -46,7 +46,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value string) {
 		got, err := Parse(value)
-		if got < 0 || got > Longest || err != nil && got != 0 {
+		if got < 0 || got > Max || err != nil && got != 0 {
 			t.Fatalf("%q: %v, %v", value, got, err)
 		}
 	})
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -193,7 +193,7 @@
 // Listener is a listener whose connections have a write timeout.
 type Listener struct {
 	net.Listener
-	Patience time.Duration // how long their writes may make no progress
+	WriteTimeout time.Duration // how long their writes may make no progress
 }
 
 // Accept implements net.Listener.
@@ -202,5 +202,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return New(c, l.Patience), nil
+	return New(c, l.WriteTimeout), nil
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -151,7 +151,7 @@
 	is := is.New(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l := Listener{Listener: raw, Patience: timeout}
+	l := Listener{Listener: raw, WriteTimeout: timeout}
 	defer func() { _ = l.Close() }()
 	out, err := net.Dial("tcp", raw.Addr().String())
 	is.NoErr(err)
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Processor returns the processor time used by the process since its start, in user and system mode.
-func Processor() (time.Duration, error) {
+// ProcessorTime returns the processor time used by the process since its start, in user and system mode.
+func ProcessorTime() (time.Duration, error) {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
 		return 0, err
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -9,11 +9,11 @@
 
 func TestProcessorTimeGrowsWithWork(t *testing.T) {
 	is := is.New(t)
-	before, err := Processor()
+	before, err := ProcessorTime()
 	is.NoErr(err)
 	after := before
 	for began := time.Now(); after <= before && time.Since(began) < time.Minute; {
-		after, err = Processor()
+		after, err = ProcessorTime()
 		is.NoErr(err)
 	}
 	is.True(after > before)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -209,7 +209,7 @@
 // checkSuspension checks whether the VM was suspended, and notifies the observers. The core's time includes
 // the suspension already; the other services adjust their own.
 func (s *Service) checkSuspension() {
-	slept := s.clock.Look()
+	slept := s.clock.Refresh()
 	if slept == 0 {
 		return
 	}
--- a/status/status.go
+++ b/status/status.go
@@ -92,7 +92,7 @@
 func (s *Service) Claim(ctx context.Context, in *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	ctx, span := s.traces.StartSpan(telemetry.FromPeer(ctx), "commit claim", trace.SpanKindServer)
 	defer span.End()
-	return s.claims.Answer(ctx, in)
+	return s.claims.HandleClaim(ctx, in)
 }
 
 // Status implements wire.DRPCPeerServer.
