--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -74,7 +74,7 @@
 	c.soak.mu.Unlock()
 	dial := users.Dial
 	if c.random.IntN(3) == 0 {
-		dial = users.DialNarrow
+		dial = users.DialSmallWindow
 	}
 	began := time.Now()
 	conn, err := dial(c.router.callers)
@@ -188,7 +188,7 @@
 
 // randomShape returns the shape of an answer whose size is close to a buffer's, or anything up to maxAnswer.
 func (c *persistentCaller) randomShape() users.Shape {
-	form := []users.Form{users.Sized, users.Sized, users.Chunked, users.Open}[c.random.IntN(4)]
+	form := []users.Form{users.Sized, users.Sized, users.Chunked, users.UntilClose}[c.random.IntN(4)]
 	sizes := c.soak.sizes
 	switch c.random.IntN(8) {
 	case 0:
--- a/e2e/cold_test.go
+++ b/e2e/cold_test.go
@@ -15,7 +15,7 @@
 	p := newPlatform(t, 3, "--cold-overshoot", "1.5", "--cold-slack", "5")
 	const bound = 14 // per second: 6.1 times the overshoot, plus the slack
 	for _, b := range p.engines {
-		b.Cold = 3 * time.Second
+		b.ColdFor = 3 * time.Second
 		b.Announce("ready")
 	}
 	await(t, "the routers limit the rate", func() bool { return p.floodAll(200*time.Millisecond) <= 2*bound/5 })
@@ -28,7 +28,7 @@
 		}
 	}
 	for _, b := range p.engines {
-		b.Cold = 0
+		b.ColdFor = 0
 		b.Announce("ready")
 	}
 	await(t, "warm engines get the full rate", func() bool { return p.floodAll(200*time.Millisecond) > 4*bound })
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -80,7 +80,7 @@
 			pool.platform.t.Error(err)
 			return
 		}
-		b.Behave(pool.behaviour)
+		b.SetBehaviour(pool.behaviour)
 		pool.mu.Lock()
 		pool.all = append(pool.all, b)
 		pool.current[index] = b
@@ -176,7 +176,7 @@
 // TestPlatformCrashInducingRequestsAreHeldBack sends requests that crash servers to routers in turn, beside ordinary ones.
 func TestPlatformCrashInducingRequestsAreHeldBack(t *testing.T) {
 	p := newPlatform(t, 6)
-	pool := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond, Gap: 20 * time.Millisecond})
+	pool := p.startRestartingPool(users.Behaviour{CrashOnBody: crashBody, CrashDelay: 30 * time.Millisecond, Gap: 20 * time.Millisecond})
 	callers := []repeatedRequest{
 		{"POST", "/look/lethal", crashBody, 350 * time.Millisecond},
 		{"POST", "/claim/lethal", crashBody, 350 * time.Millisecond},
@@ -245,7 +245,7 @@
 // are killed at once: new routers read them from the store, and one that starts later receives them from the others.
 func TestPlatformHeldBackRequestsSurviveRestartOfAllRouters(t *testing.T) {
 	p := newPlatform(t, 3)
-	pool := p.startRestartingPool(users.Behaviour{EndsUnder: crashBody, EndsAfter: 30 * time.Millisecond})
+	pool := p.startRestartingPool(users.Behaviour{CrashOnBody: crashBody, CrashDelay: 30 * time.Millisecond})
 	crashing := []repeatedRequest{{"POST", "/claim/lethal", crashBody, 300 * time.Millisecond}}
 	p.sendFor(3*time.Second, crashing)
 	await(t, "the held-back request is stored", func() bool { return len(p.store.Keys("tamarindstep/held")) == 1 })
--- a/e2e/evacuate_test.go
+++ b/e2e/evacuate_test.go
@@ -28,7 +28,7 @@
 			return len(b.Runs()) > before
 		})
 	}
-	p.store.TakeBack(hallA)
+	p.store.EndEvacuation(hallA)
 	for _, r := range p.routers {
 		await(p.t, "the hall is used by "+r.name, func() bool { return p.runsInHallA(r) > 0 })
 	}
@@ -40,7 +40,7 @@
 	ran := func() int {
 		n := 0
 		for _, b := range p.services {
-			if b.Hall == hallA {
+			if b.DataHall == hallA {
 				n += len(b.Runs())
 			}
 		}
@@ -63,8 +63,8 @@
 		p.is.True(p.runsInHallA(r) > 0)
 	}
 	time.Sleep(2 * time.Second) // until the routers have discovered each other
-	p.storeProxies[0].Shut()
-	p.store.HoldStaleReads()
+	p.storeProxies[0].Disable()
+	p.store.FreezeStaleReads()
 	p.store.Evacuate(hallA, "{}")
 	for _, r := range p.routers {
 		await(t, "the hall gets nothing from "+r.name, func() bool { return p.runsInHallA(r) == 0 })
@@ -72,7 +72,7 @@
 	late := p.start(3)
 	p.awaitReady(late)
 	await(t, "the hall gets nothing from a router that started", func() bool { return p.runsInHallA(late) == 0 })
-	p.store.TakeBack(hallA)
+	p.store.EndEvacuation(hallA)
 	for _, r := range append(p.routers, late) {
 		await(t, "the hall is used again by "+r.name, func() bool { return p.runsInHallA(r) > 0 })
 	}
@@ -96,7 +96,7 @@
 		is.True(time.Since(began) < time.Second) // at once, not when its time limit expires
 		is.Equal(len(p.runsOf(r.ID)), 0)
 	}
-	p.store.TakeBack(hallA)
+	p.store.EndEvacuation(hallA)
 	await(t, "requests are served", func() bool { return users.Call(to, p.request("GET", "/look/1")).Status == 200 })
 }
 
@@ -106,17 +106,17 @@
 	p := newPlatform(t, 2)
 	p.addSecondHall()
 	for range 3 {
-		p.store.Mute(true)
+		p.store.SuspendWatches(true)
 		p.store.Evacuate(hallA, "{}")
-		p.store.TakeBack(hallA)
+		p.store.EndEvacuation(hallA)
 		p.store.Evacuate(hallA, "{}")
-		p.store.Mute(false)
+		p.store.SuspendWatches(false)
 		for _, r := range p.routers {
 			await(t, "the hall gets nothing", func() bool { return p.runsInHallA(r) == 0 })
 		}
-		p.store.TakeBack(hallA)
+		p.store.EndEvacuation(hallA)
 		p.store.Evacuate(hallA, "{}")
-		p.store.TakeBack(hallA)
+		p.store.EndEvacuation(hallA)
 		for _, r := range p.routers {
 			await(t, "the hall is used again", func() bool { return p.runsInHallA(r) > 0 })
 		}
--- a/e2e/guarantees_test.go
+++ b/e2e/guarantees_test.go
@@ -26,7 +26,7 @@
 func TestStoreUnavailableAfterStart(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 3)
-	f.store.SetFaults(standin.Faults{Out: true})
+	f.store.SetFaults(standin.Faults{Unavailable: true})
 	for i, r := range f.routers {
 		id := fmt.Sprint("out-", i)
 		got, err := f.stream(r, id, 5)
@@ -57,7 +57,7 @@
 	is := check(t)
 	f := newFleet(t, 2)
 	for _, e := range f.engines {
-		e.SetFaults(standin.Faults{BreakAfter: 5})
+		e.SetFaults(standin.Faults{AbortAfter: 5})
 	}
 	got, err := f.stream(f.routers[0], "broken", 20)
 	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // a broken stream, not a regular end
@@ -74,7 +74,7 @@
 	is := check(t)
 	f := newFleet(t, 1)
 	for _, e := range f.engines {
-		e.SetFaults(standin.Faults{BreakAfter: 1})
+		e.SetFaults(standin.Faults{AbortAfter: 1})
 	}
 	// It breaks off after 1.2 s, when its waiting time is over.
 	a := f.call(f.routers[0], "/v1/completions", `{"model":"chat","max_tokens":600,"prompt":"x"}`,
@@ -86,7 +86,7 @@
 func TestNotRunMeansNotRun(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 2)
-	faults := []standin.Faults{{Reset: "accept"}, {Reset: "read"}, {Out: true}, {}}
+	faults := []standin.Faults{{Reset: "accept"}, {Reset: "read"}, {Unavailable: true}, {}}
 	notRun := 0
 	for round, fault := range faults {
 		f.service.SetFaults(fault)
@@ -122,7 +122,7 @@
 func TestAtMostOnce(t *testing.T) {
 	is := check(t)
 	f := newFleet(t, 3)
-	f.store.SetFaults(standin.Faults{LoseAnswers: 10, SlowMS: 5})
+	f.store.SetFaults(standin.Faults{LoseAnswers: 10, DelayMS: 5})
 	const keys = 24
 	succeeded := make([]int, keys)
 	var mu sync.Mutex
@@ -337,7 +337,7 @@
 	is.True(strings.Contains(out, "generation 3 "))
 	f.awaitGeneration(3)
 	// While the store is unavailable, a restarted router gets the configuration from the others.
-	f.store.SetFaults(standin.Faults{Out: true})
+	f.store.SetFaults(standin.Faults{Unavailable: true})
 	f.kill(f.routers[2])
 	f.start(f.routers[2])
 	f.awaitReady(f.routers[2])
--- a/e2e/misuse_test.go
+++ b/e2e/misuse_test.go
@@ -78,7 +78,7 @@
 	m := newMisuse(t)
 	const callers, requests = 20, 8 // answers of 1 MB, far more than the kernel buffers
 	for range callers {
-		c, err := users.DialNarrow(m.routers[0].callers)
+		c, err := users.DialSmallWindow(m.routers[0].callers)
 		m.is.NoErr(err)
 		t.Cleanup(c.Close)
 		for range requests {
@@ -104,7 +104,7 @@
 	const slow = 20
 	var callers sync.WaitGroup
 	for range slow {
-		c, err := users.DialNarrow(m.routers[0].callers)
+		c, err := users.DialSmallWindow(m.routers[0].callers)
 		m.is.NoErr(err)
 		t.Cleanup(c.Close)
 		c.SetPace(users.Pace{Bytes: 1000, Pause: 20 * time.Millisecond})
@@ -130,7 +130,7 @@
 			m := newMisuse(t)
 			var callers []*users.Caller
 			for range 20 {
-				c, err := users.DialNarrow(m.routers[0].callers)
+				c, err := users.DialSmallWindow(m.routers[0].callers)
 				m.is.NoErr(err)
 				m.is.NoErr(c.Send(m.request("POST", fmt.Sprintf("/claim/1?bytes=%d", size))))
 				callers = append(callers, c)
--- a/e2e/notice_test.go
+++ b/e2e/notice_test.go
@@ -91,13 +91,13 @@
 func TestPlatformServersThatAnnounceLeavingGetNothing(t *testing.T) {
 	p, pool := newPool(t, 3)
 	for _, proxy := range p.storeProxies {
-		proxy.Shut()
+		proxy.Disable()
 	}
 	answers := p.startLoad(9*time.Second, continuousLoad(24))
 	time.Sleep(2 * time.Second)
 	leaving := pool[1]
 	announced := time.Now()
-	leaving.Behave(users.Behaviour{Gap: 25 * time.Millisecond, Leaving: true})
+	leaving.SetBehaviour(users.Behaviour{Gap: 25 * time.Millisecond, Leaving: true})
 	time.Sleep(6 * time.Second)
 	before := leaving.Arrivals(announced.Add(-2*time.Second), announced)
 	after := leaving.Arrivals(announced.Add(noticeDelay+maxLeaveDelay), time.Now())
@@ -141,7 +141,7 @@
 			resting := pool[:c.resting]
 			announced := time.Now()
 			restEnd := announced.Add(restPeriod)
-			p.behave(resting, users.Behaviour{Rest: strconv.Itoa(int(restPeriod.Seconds()))})
+			p.behave(resting, users.Behaviour{RetryAfter: strconv.Itoa(int(restPeriod.Seconds()))})
 			time.Sleep(noticeDelay)
 			if c.resting == len(pool) {
 				p.checkRefusedUntil(restEnd)
@@ -178,7 +178,7 @@
 		p.store.Remove("servers/" + b.Name)
 	}
 	// Notices in late answers to other requests aren't theirs: each server still serves some of 20 requests.
-	p.behave(pool[:2], users.Behaviour{Surplus: true, Misled: true})
+	p.behave(pool[:2], users.Behaviour{ExtraAnswer: true, ExtraAnswerLeaving: true})
 	used := func(b *users.Backend) bool {
 		n := len(b.Runs())
 		for range 20 {
@@ -189,12 +189,12 @@
 	await(t, "both servers are used again", func() bool { return used(pool[0]) && used(pool[1]) })
 
 	p.behave(pool[:2], users.Behaviour{})
-	pool[0].Behave(users.Behaviour{Leaving: true})
+	pool[0].SetBehaviour(users.Behaviour{Leaving: true})
 	await(t, "it has sent its notice", func() bool { return used(pool[0]) })
 	p.is.True(!used(pool[0]))
 	p.is.True(used(pool[1]))
 
-	next, err := pool[0].Again("pool-run-again")
+	next, err := pool[0].RestartAs("pool-run-again")
 	p.is.NoErr(err)
 	t.Cleanup(next.Close)
 	await(t, "the new server at its address is used", func() bool { return used(next) })
@@ -202,7 +202,7 @@
 	// Engines answer in streams: the notice in the header applies while the stream is still running.
 	p.behave(p.engines, users.Behaviour{Events: 3, Gap: time.Millisecond})
 	slow := users.Behaviour{Events: 40, Gap: 100 * time.Millisecond, Leaving: true}
-	p.engines[0].Behave(slow)
+	p.engines[0].SetBehaviour(slow)
 	var mu sync.Mutex
 	ended := false
 	var streams sync.WaitGroup
@@ -232,7 +232,7 @@
 	is := check(t)
 	f := newFleet(t, 2)
 	resting := f.engines[0]
-	resting.SetFaults(standin.Faults{Rest: strconv.Itoa(int(restPeriod.Seconds()))})
+	resting.SetFaults(standin.Faults{RetryAfter: strconv.Itoa(int(restPeriod.Seconds()))})
 	ask := func(n int) map[int]int {
 		got := make([]int, n)
 		concurrently(n, func(i int) {
@@ -244,13 +244,13 @@
 		}
 		return byStatus
 	}
-	await(t, "it has asked for a rest period", func() bool { ask(40); return resting.Turned() > 0 })
+	await(t, "it has asked for a rest period", func() bool { ask(40); return resting.Rejected() > 0 })
 	ask(40) // so that each router has received the request for rest
 	time.Sleep(maxRestDelay)
-	before := resting.Turned()
+	before := resting.Rejected()
 	got := ask(200)
-	t.Logf("answers, by status: %v; %d requests rejected before, and %d of these", got, before, resting.Turned()-before)
-	is.True(resting.Turned()-before <= allowedWhileResting*len(f.routers))
+	t.Logf("answers, by status: %v; %d requests rejected before, and %d of these", got, before, resting.Rejected()-before)
+	is.True(resting.Rejected()-before <= allowedWhileResting*len(f.routers))
 	is.True(got[200] >= 190)
 	resting.SetFaults(standin.Faults{})
 	ran := len(resting.Runs())
--- a/e2e/pause_test.go
+++ b/e2e/pause_test.go
@@ -59,7 +59,7 @@
 	p := newPlatform(t, 1)
 	r := p.routers[0]
 	fail := make(chan struct{})
-	p.behave(p.services, users.Behaviour{Held: fail, Status: 500})
+	p.behave(p.services, users.Behaviour{HoldUntil: fail, Status: 500})
 	var callers []*users.Caller
 	var sent []string
 	for range 16 {
--- a/e2e/platform_harness_test.go
+++ b/e2e/platform_harness_test.go
@@ -22,7 +22,7 @@
 	engines      []*users.Backend
 	services     []*users.Backend
 	routers      []*router
-	storeProxies []*users.Door // between each router and the store
+	storeProxies []*users.StoreEndpoint // between each router and the store
 	version      int
 	accounts     map[string]string
 	idle         time.Duration // idle limit of connections in the configuration
@@ -34,7 +34,7 @@
 
 var routes = []users.Route{
 	{Name: "chat", Path: "/chat/", Kind: "streaming", Pool: "engines", Attempts: 1, Timeout: 20 * time.Second},
-	{Name: "unhurried", Path: "/unhurried/", Kind: "streaming", Pool: "engines", Attempts: 1, Timeout: 20 * time.Second, Unhurried: true},
+	{Name: "unhurried", Path: "/unhurried/", Kind: "streaming", Pool: "engines", Attempts: 1, Timeout: 20 * time.Second, NoObjective: true},
 	{Name: "review", Path: "/review/", Kind: "streaming", Pool: "engines", Attempts: 2, Resumable: true, Timeout: 20 * time.Second},
 	{Name: "claim", Path: "/claim/", Kind: "unsafe", Pool: "entries", Attempts: 1, Timeout: 20 * time.Second},
 	{Name: "look", Path: "/look/", Kind: "safe", Pool: "entries", Attempts: 2, Timeout: 20 * time.Second},
@@ -45,7 +45,7 @@
 // usual ones, and waits until the routers are ready.
 func newPlatform(t testing.TB, routers int, flags ...string) *platform {
 	t.Helper()
-	p := &platform{t: t, is: is.New(t), store: users.NewStore(), accounts: map[string]string{callerKey: "league"}, flags: flags, idle: users.DefaultIdle}
+	p := &platform{t: t, is: is.New(t), store: users.NewStore(), accounts: map[string]string{callerKey: "league"}, flags: flags, idle: users.DefaultIdleTimeout}
 	t.Cleanup(p.store.Close)
 	p.configure()
 	for i := range 2 {
@@ -81,7 +81,7 @@
 		name: fmt.Sprintf("router-%d", i), callers: freePort(p.t), admin: freePort(p.t), peers: freePort(p.t),
 		exited: make(chan error, 1),
 	}
-	proxy := p.store.Door()
+	proxy := p.store.NewEndpoint()
 	p.storeProxies = append(p.storeProxies, proxy)
 	args := append([]string{
 		"--interface", "platform", "--name", r.name, "--data-hall", "hall-a", "--caller-listen", r.callers,
@@ -128,7 +128,7 @@
 
 func (p *platform) behave(backends []*users.Backend, x users.Behaviour) {
 	for _, b := range backends {
-		b.Behave(x)
+		b.SetBehaviour(x)
 	}
 }
 
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -52,21 +52,21 @@
 	is := p.is
 	to := p.routers[0].callers
 	unframed := p.request("POST", "/claim/1")
-	p.behave(p.services, users.Behaviour{Unframed: true})
+	p.behave(p.services, users.Behaviour{NoLength: true})
 	got := users.Call(to, unframed)
 	is.Equal(got.Status, 200)
 	is.Equal(got.Body, "the whole answer")
 
-	p.behave(p.services, users.Behaviour{Unframed: true, Reset: true})
+	p.behave(p.services, users.Behaviour{NoLength: true, Reset: true})
 	is.Equal(users.Call(to, p.request("POST", "/claim/2")).Status, 502)
 
-	p.behave(p.services, users.Behaviour{Nameless: true})
+	p.behave(p.services, users.Behaviour{OmitRequestID: true})
 	is.Equal(users.Call(to, p.request("POST", "/claim/3")).Status, 502)
 
 	p.behave(p.services, users.Behaviour{Status: 503}) // from a router this status means: not run
 	is.Equal(users.Call(to, p.request("POST", "/claim/4")).Status, 502)
 
-	p.behave(p.engines, users.Behaviour{Events: 5, CutAfter: 3, CutInside: true})
+	p.behave(p.engines, users.Behaviour{Events: 5, AbortAfter: 3, AbortWithinEvent: true})
 	broken := users.Call(to, p.request("POST", "/chat/1"))
 	is.Equal(broken.Status, 200)
 	is.True(broken.Err != nil) // visibly broken
@@ -74,7 +74,7 @@
 
 func TestPlatformSurplusAnswersReachNobody(t *testing.T) {
 	p := newPlatform(t, 1)
-	p.behave(p.services, users.Behaviour{Surplus: true})
+	p.behave(p.services, users.Behaviour{ExtraAnswer: true})
 	for range 20 {
 		r := p.request("POST", "/claim/1")
 		got := users.Call(p.routers[0].callers, r)
@@ -103,7 +103,7 @@
 	is.True(got.RetryAfter != "")
 	is.Equal(len(p.runsOf(refused.ID)), 0)
 
-	p.services[0].Behave(users.Behaviour{})
+	p.services[0].SetBehaviour(users.Behaviour{})
 	await(t, "a request that may be retried is served", func() bool {
 		return users.Call(to, p.request("GET", "/look/2")).Status == 200
 	})
@@ -111,8 +111,8 @@
 
 func TestPlatformStreamIsContinued(t *testing.T) {
 	p := newPlatform(t, 1)
-	p.engines[0].Behave(users.Behaviour{Events: 6, CutAfter: 3, CutInside: true})
-	p.engines[1].Behave(users.Behaviour{Events: 6, CutAfter: 3, CutInside: true})
+	p.engines[0].SetBehaviour(users.Behaviour{Events: 6, AbortAfter: 3, AbortWithinEvent: true})
+	p.engines[1].SetBehaviour(users.Behaviour{Events: 6, AbortAfter: 3, AbortWithinEvent: true})
 	r := p.request("POST", "/review/1")
 	c, err := users.Dial(p.routers[0].callers)
 	p.is.NoErr(err)
@@ -129,7 +129,7 @@
 
 func TestPlatformEarlyAnswersDoNotAffectOthers(t *testing.T) {
 	p := newPlatform(t, 1)
-	p.behave(p.services, users.Behaviour{Early: true})
+	p.behave(p.services, users.Behaviour{AnswerBeforeBody: true})
 	long := p.request("POST", "/claim/1")
 	long.Body = strings.Repeat("long", 50_000)
 	got := users.Call(p.routers[0].callers, long)
@@ -165,14 +165,14 @@
 	p.is.NoErr(c.Send(r))
 	await(t, "the run", func() bool { return len(p.runsOf(r.ID)) == 1 })
 	c.Close()
-	await(t, "the backend server notices the cancellation", func() bool { return p.runsOf(r.ID)[0].Left })
+	await(t, "the backend server notices the cancellation", func() bool { return p.runsOf(r.ID)[0].Disconnected })
 }
 
 // TestPlatformSilentServerIsReplaced guards against requests that wait for an unresponsive backend server until their time
 // limit: one of two servers doesn't answer, and a request that may be repeated is answered by the other in time.
 func TestPlatformSilentServerIsReplaced(t *testing.T) {
 	p := newPlatform(t, 1)
-	p.services[0].Behave(users.Behaviour{Gap: time.Minute})
+	p.services[0].SetBehaviour(users.Behaviour{Gap: time.Minute})
 	for range 6 {
 		r := p.request("GET", "/look/1")
 		began := time.Now()
@@ -208,7 +208,7 @@
 	is := p.is
 	await(t, "all routers are listed", func() bool { return len(p.store.Keys("tamarindstep/routers/")) == 3 })
 	time.Sleep(2 * time.Second) // until the routers have discovered each other
-	p.storeProxies[0].Shut()
+	p.storeProxies[0].Disable()
 	to := p.routers[0].callers
 
 	p.accounts = map[string]string{"another-key": "utility"}
@@ -235,11 +235,11 @@
 func TestPlatformCompactedHistory(t *testing.T) {
 	p := newPlatform(t, 1)
 	to := p.routers[0].callers
-	p.store.Mute(true)
+	p.store.SuspendWatches(true)
 	p.accounts = map[string]string{"another-key": "utility"}
 	p.configure()
 	p.store.Remove("servers/" + p.services[0].Name)
-	p.store.Mute(false)
+	p.store.SuspendWatches(false)
 	await(t, "the new key is known", func() bool {
 		r := p.request("GET", "/look/1")
 		r.Key = "another-key"
@@ -312,7 +312,7 @@
 	for _, r := range p.routers {
 		p.awaitReady(r)
 	}
-	p.storeProxies[0].Shut()
+	p.storeProxies[0].Disable()
 	time.Sleep(2 * time.Second)
 	p.accounts = map[string]string{"another-key": "utility"}
 	p.configure()
@@ -344,7 +344,7 @@
 // newer configuration, and the state of a draining backend server, from the other routers.
 func TestPlatformStaleReadsAtStart(t *testing.T) {
 	p := newPlatform(t, 2)
-	p.store.HoldStaleReads()
+	p.store.FreezeStaleReads()
 	p.services[0].Announce("draining")
 	routes := append(slices.Clone(routes), users.Route{
 		Name: "new", Path: "/new/", Kind: "safe", Pool: "entries", Attempts: 1, Timeout: time.Second,
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -28,7 +28,7 @@
 func TestPlatformServersRestartUnderTheirNames(t *testing.T) {
 	p := newPlatform(t, 2)
 	restart := func(b *users.Backend, born int64) *users.Backend {
-		next, err := b.Reborn(born)
+		next, err := b.Restart(born)
 		p.is.NoErr(err)
 		t.Cleanup(next.Close)
 		return next
--- a/e2e/restore_test.go
+++ b/e2e/restore_test.go
@@ -110,10 +110,10 @@
 
 func TestPlatformEvacuationsSurviveStoreRestore(t *testing.T) {
 	t.Run("evacuated after the copy", func(t *testing.T) {
-		testEvacuationAfterRestore(t, true, func(p *platform) { p.store.Evacuate(hallA, "{}") }, func(p *platform) { p.store.TakeBack(hallA) })
+		testEvacuationAfterRestore(t, true, func(p *platform) { p.store.Evacuate(hallA, "{}") }, func(p *platform) { p.store.EndEvacuation(hallA) })
 	})
 	t.Run("taken back after the copy", func(t *testing.T) {
-		testEvacuationAfterRestore(t, false, func(p *platform) { p.store.TakeBack(hallA) }, func(p *platform) { p.store.Evacuate(hallA, "{}") })
+		testEvacuationAfterRestore(t, false, func(p *platform) { p.store.EndEvacuation(hallA) }, func(p *platform) { p.store.Evacuate(hallA, "{}") })
 	})
 }
 
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -120,7 +120,7 @@
 	s.checkLeftovers(baseline)
 	if s.restores {
 		for _, proxy := range s.storeProxies {
-			proxy.Open() // a router started meanwhile waits for the peer key
+			proxy.Enable() // a router started meanwhile waits for the peer key
 		}
 		await(t, "each router counts three members", func() bool { return s.allReportMembers("3") })
 	}
@@ -155,9 +155,9 @@
 		s.pause(i)
 	case 3:
 		s.faultLog.recordConfigurationDelay()
-		s.storeProxies[i].Shut()
+		s.storeProxies[i].Disable()
 	case 4:
-		s.storeProxies[i].Open()
+		s.storeProxies[i].Enable()
 	case 5:
 		s.faultLog.recordConfigurationDelay()
 		s.store.SetDown(s.random.IntN(2) == 0)
@@ -170,7 +170,7 @@
 	case 9:
 		s.store.Evacuate(s.randomHall(), "{}")
 	case 10:
-		s.store.TakeBack(s.randomHall())
+		s.store.EndEvacuation(s.randomHall())
 	case 11:
 		s.toggleCold()
 	case 12:
@@ -224,7 +224,7 @@
 // toggleCold makes a random engine announce that it is cold, or no longer cold.
 func (s *soak) toggleCold() {
 	b := s.engines[s.random.IntN(len(s.engines))]
-	b.Cold = time.Duration(s.random.IntN(2)) * 3 * time.Second
+	b.ColdFor = time.Duration(s.random.IntN(2)) * 3 * time.Second
 	b.Announce("ready")
 }
 
@@ -260,11 +260,11 @@
 // misbehave gives a random backend server a random behaviour, faulty or normal.
 func (s *soak) misbehave(backends []*users.Backend) {
 	ways := []users.Behaviour{
-		{}, {Drop: true}, {Reject: true}, {Surplus: true}, {Early: true}, {Unframed: true},
-		{Unframed: true, Reset: true}, {CutAfter: 7, CutInside: true}, {Status: 500}, {Nameless: true},
+		{}, {Drop: true}, {Reject: true}, {ExtraAnswer: true}, {AnswerBeforeBody: true}, {NoLength: true},
+		{NoLength: true, Reset: true}, {AbortAfter: 7, AbortWithinEvent: true}, {Status: 500}, {OmitRequestID: true},
 	}
 	if s.restores {
-		ways = append(ways, users.Behaviour{Leaving: true}, users.Behaviour{Rest: "0.4"}, users.Behaviour{Rest: "soon"}, users.Behaviour{Surplus: true, Misled: true})
+		ways = append(ways, users.Behaviour{Leaving: true}, users.Behaviour{RetryAfter: "0.4"}, users.Behaviour{RetryAfter: "soon"}, users.Behaviour{ExtraAnswer: true, ExtraAnswerLeaving: true})
 	}
 	x := ways[s.random.IntN(len(ways))]
 	s.faultLog.recordMisbehaviour()
@@ -272,7 +272,7 @@
 	if backends[0].Pool == "engines" {
 		x.Events = 20
 	}
-	backends[s.random.IntN(len(backends))].Behave(x)
+	backends[s.random.IntN(len(backends))].SetBehaviour(x)
 }
 
 // replaceBackend announces that a backend server drains, and starts another one.
@@ -289,8 +289,8 @@
 		s.resume(i)
 	}
 	s.store.SetDown(false)
-	s.store.TakeBack(hallA)
-	s.store.TakeBack(hallB)
+	s.store.EndEvacuation(hallA)
+	s.store.EndEvacuation(hallB)
 }
 
 // checkResults checks the results of callers against the runs of backend servers.
--- a/e2e/unconfirmed_test.go
+++ b/e2e/unconfirmed_test.go
@@ -22,7 +22,7 @@
 	}
 	p.is.Equal(callWithNewKey("/look/1").Status, 401)
 	p.is.Equal(users.Call(to, p.request("GET", "/new/1")).Status, 404)
-	p.storeProxies[0].Shut()
+	p.storeProxies[0].Disable()
 	time.Sleep(3 * time.Second)
 	p.accounts["key-of-a-newcomer"] = "newcomer"
 	p.configure()
@@ -31,7 +31,7 @@
 		p.is.True(got.RetryAfter != "")
 	}
 	p.is.Equal(users.Call(to, p.request("GET", "/look/1")).Status, 200) // known routes and keys are still served
-	p.storeProxies[0].Open()
+	p.storeProxies[0].Enable()
 	await(t, "the new key is served", func() bool { return callWithNewKey("/look/1").Status == 200 })
 	await(t, "the unknown route is answered with 404", func() bool { return users.Call(to, p.request("GET", "/new/1")).Status == 404 })
 }
--- a/e2e/unread_test.go
+++ b/e2e/unread_test.go
@@ -40,7 +40,7 @@
 	var callers sync.WaitGroup
 	var refused, others atomic.Int64
 	for range unreadCallers {
-		c, err := users.DialNarrow(p.routers[0].callers)
+		c, err := users.DialSmallWindow(p.routers[0].callers)
 		p.is.NoErr(err)
 		r := p.request("POST", "/look/1"+shape.Query())
 		p.is.NoErr(c.Send(r))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -214,7 +214,7 @@
 	defer c.engine.releaseSlot()
 	for i := range c.in.MaxTokens {
 		time.Sleep(c.engine.tokenInterval)
-		if c.faults.BreakAfter > 0 && i == c.faults.BreakAfter {
+		if c.faults.AbortAfter > 0 && i == c.faults.AbortAfter {
 			return errInjectedFault
 		}
 		object := c.object(c.choice(c.token(i), i == c.in.MaxTokens-1))
@@ -243,7 +243,7 @@
 		time.Sleep(c.engine.tokenInterval)
 		text.WriteString(c.token(i))
 	}
-	if c.faults.BreakAfter > 0 {
+	if c.faults.AbortAfter > 0 {
 		ctx.SetBodyStream(newPipe(func(w *bufio.Writer) error {
 			fmt.Fprint(w, `{"id":"`)
 			_ = w.Flush()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -17,21 +17,21 @@
 
 // Faults are the faults injected into a stand-in until they are replaced.
 type Faults struct {
-	// Out makes every call fail without effect, like a service that is down.
-	Out bool `json:"out"`
-	// SlowMS delays each answer, in milliseconds, after the call has taken effect.
-	SlowMS int `json:"slow_ms"`
+	// Unavailable makes every call fail without effect, like a service that is down.
+	Unavailable bool `json:"out"`
+	// DelayMS delays each answer, in milliseconds, after the call has taken effect.
+	DelayMS int `json:"slow_ms"`
 	// LoseAnswers drops the answers to that many writes, after they have taken effect.
 	LoseAnswers int `json:"lose_answers"`
-	// BreakAfter aborts an answer after that many tokens; 0 for never.
-	BreakAfter int `json:"break_after"`
+	// AbortAfter aborts an answer after that many tokens; 0 for never.
+	AbortAfter int `json:"break_after"`
 	// Reset closes the connection: "accept" before the request is read, "read" after it was read and counted, "" for
 	// never.
 	Reset string `json:"reset"`
 	// Leaving makes a backend server report that it is shutting down.
 	Leaving bool `json:"leaving"`
-	// Rest makes a backend server reject requests with this Retry-After value, in seconds; "" for not.
-	Rest string `json:"rest"`
+	// RetryAfter makes a backend server reject requests with this Retry-After value, in seconds; "" for not.
+	RetryAfter string `json:"rest"`
 }
 
 // faultInjector holds the injected faults; it is embedded in all stand-ins.
@@ -92,8 +92,8 @@
 	rejected int
 }
 
-// Turned returns the number of rejected requests.
-func (b *backend) Turned() int {
+// Rejected returns the number of rejected requests.
+func (b *backend) Rejected() int {
 	b.runsMu.Lock()
 	defer b.runsMu.Unlock()
 	return b.rejected
@@ -124,7 +124,7 @@
 	if b.handleFaults(ctx) {
 		return true
 	}
-	if faults.Out || faults.Reset == "accept" {
+	if faults.Unavailable || faults.Reset == "accept" {
 		dropConnection(ctx)
 		return true
 	}
@@ -138,7 +138,7 @@
 	case "/metrics":
 		return false
 	default:
-		return faults.Rest != "" && b.reject(ctx, faults.Rest)
+		return faults.RetryAfter != "" && b.reject(ctx, faults.RetryAfter)
 	}
 	return true
 }
@@ -154,7 +154,7 @@
 }
 
 func applyDelay(f Faults) {
-	time.Sleep(time.Duration(f.SlowMS) * time.Millisecond)
+	time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
 }
 
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -53,7 +53,7 @@
 // SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.faultInjector.SetFaults(f)
-	if f.Out {
+	if f.Unavailable {
 		s.endWatches()
 	}
 }
@@ -61,7 +61,7 @@
 // Handle handles a request.
 func (s *Store) Handle(ctx *fasthttp.RequestCtx) {
 	if s.handleFaults(ctx) {
-		if s.currentFaults().Out {
+		if s.currentFaults().Unavailable {
 			s.endWatches()
 		}
 		return
@@ -71,7 +71,7 @@
 		return
 	}
 	faults := s.currentFaults()
-	if faults.Out {
+	if faults.Unavailable {
 		dropConnection(ctx)
 		return
 	}
@@ -219,7 +219,7 @@
 		s.mu.Unlock()
 	}()
 	fmt.Fprintln(w, `{"result":{"created":true}}`)
-	for w.Flush() == nil && !s.currentFaults().Out {
+	for w.Flush() == nil && !s.currentFaults().Unavailable {
 		s.mu.Lock()
 		v, changed := s.values[string(key)], s.changed
 		s.mu.Unlock()
--- a/internal/standin/users/backend.go
+++ b/internal/standin/users/backend.go
@@ -14,24 +14,24 @@
 
 // Behaviour specifies how a backend server answers.
 type Behaviour struct {
-	Events    int           // of a streamed answer; 0 for a plain answer
-	Gap       time.Duration // between events, and before a plain answer
-	Held      chan struct{} // a plain answer is delayed until this is closed, nil for no delay
-	CutAfter  int           // events after which the answer is aborted, 0 for never
-	CutInside bool          // it is aborted within the next event
-	Unframed  bool          // the answer has no length and ends with its connection
-	Reset     bool          // the connection is reset instead of closed
-	Drop      bool          // the connection is closed without an answer once the request is read
-	Reject    bool          // every request is rejected without being run
-	Status    int           // of a plain answer, 0 for 200
-	Surplus   bool          // the answer to another request precedes the answer
-	Early     bool          // the answer is sent before the body is read
-	Nameless  bool          // the answer has no request identifier
-	EndsUnder string        // the body of requests that make the server crash, "" for none
-	EndsAfter time.Duration // time from such a request to the crash
-	Leaving   bool          // all answers report that the server is shutting down
-	Misled    bool          // the surplus answer reports a shutdown, while its own answers don't
-	Rest      string        // every request is rejected with this Retry-After value, in seconds; "" for none
+	Events             int           // of a streamed answer; 0 for a plain answer
+	Gap                time.Duration // between events, and before a plain answer
+	HoldUntil          chan struct{} // a plain answer is delayed until this is closed, nil for no delay
+	AbortAfter         int           // events after which the answer is aborted, 0 for never
+	AbortWithinEvent   bool          // it is aborted within the next event
+	NoLength           bool          // the answer has no length and ends with its connection
+	Reset              bool          // the connection is reset instead of closed
+	Drop               bool          // the connection is closed without an answer once the request is read
+	Reject             bool          // every request is rejected without being run
+	Status             int           // of a plain answer, 0 for 200
+	ExtraAnswer        bool          // the answer to another request precedes the answer
+	AnswerBeforeBody   bool          // the answer is sent before the body is read
+	OmitRequestID      bool          // the answer has no request identifier
+	CrashOnBody        string        // the body of requests that make the server crash, "" for none
+	CrashDelay         time.Duration // time from such a request to the crash
+	Leaving            bool          // all answers report that the server is shutting down
+	ExtraAnswerLeaving bool          // the surplus answer reports a shutdown, while its own answers don't
+	RetryAfter         string        // every request is rejected with this Retry-After value, in seconds; "" for none
 }
 
 // Run is one request that a backend server has run.
@@ -39,13 +39,13 @@
 	ID, Path, Body, Account, Key, LastEvent string
 	TimeLeft                                int
 	At                                      time.Time
-	Left                                    bool // the caller disconnected while it ran
+	Disconnected                            bool // the caller disconnected while it ran
 }
 
 // Backend stands in for a backend server process.
 type Backend struct {
-	Name, Pool, Hall string
-	Cold             time.Duration // announced remaining duration of the cold start
+	Name, Pool, DataHall string
+	ColdFor              time.Duration // announced remaining duration of the cold start
 
 	startedMS int64 // announced start, in Unix milliseconds; 0 if not announced
 	listener  net.Listener
@@ -67,18 +67,18 @@
 	return newBackendAt("127.0.0.1:0", store, announcement{name: name, pool: pool, dataHall: dataHall})
 }
 
-// Again stops a backend server, removes its entry and starts another one at its address under another name.
-func (b *Backend) Again(name string) (*Backend, error) {
+// RestartAs stops a backend server, removes its entry and starts another one at its address under another name.
+func (b *Backend) RestartAs(name string) (*Backend, error) {
 	b.Close()
 	b.store.Remove("servers/" + b.Name)
-	return newBackendAt(b.listener.Addr().String(), b.store, announcement{name: name, pool: b.Pool, dataHall: b.Hall})
+	return newBackendAt(b.listener.Addr().String(), b.store, announcement{name: name, pool: b.Pool, dataHall: b.DataHall})
 }
 
-// Reborn stops a backend server and starts it again at its address and under its name. Its entry remains in the store
+// Restart stops a backend server and starts it again at its address and under its name. Its entry remains in the store
 // and receives the new start time.
-func (b *Backend) Reborn(startedMS int64) (*Backend, error) {
+func (b *Backend) Restart(startedMS int64) (*Backend, error) {
 	b.Close()
-	return newBackendAt(b.listener.Addr().String(), b.store, announcement{name: b.Name, pool: b.Pool, dataHall: b.Hall, startedMS: startedMS})
+	return newBackendAt(b.listener.Addr().String(), b.store, announcement{name: b.Name, pool: b.Pool, dataHall: b.DataHall, startedMS: startedMS})
 }
 
 // announcement holds what a backend server process announces in its entry.
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	b := &Backend{
-		Name: announced.name, Pool: announced.pool, Hall: announced.dataHall, startedMS: announced.startedMS,
+		Name: announced.name, Pool: announced.pool, DataHall: announced.dataHall, startedMS: announced.startedMS,
 		listener: listener, store: store, conns: map[net.Conn]bool{}, closed: make(chan struct{}),
 	}
 	b.Announce("ready")
@@ -105,8 +105,8 @@
 // Announce writes the backend server's entry, with a state, to the store.
 func (b *Backend) Announce(state string) {
 	entry := map[string]any{
-		"service": b.Pool, "address": b.listener.Addr().String(), "zone": b.Hall, "version": "v1",
-		"slots": 8, "state": state, "cold_remaining_ms": b.Cold.Milliseconds(), "call_seq": 0,
+		"service": b.Pool, "address": b.listener.Addr().String(), "zone": b.DataHall, "version": "v1",
+		"slots": 8, "state": state, "cold_remaining_ms": b.ColdFor.Milliseconds(), "call_seq": 0,
 	}
 	if b.startedMS > 0 {
 		entry["born"] = b.startedMS
@@ -115,8 +115,8 @@
 	b.store.Put("servers/"+b.Name, value)
 }
 
-// Behave sets how the server answers.
-func (b *Backend) Behave(x Behaviour) {
+// SetBehaviour sets how the server answers.
+func (b *Backend) SetBehaviour(x Behaviour) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.behaviour = x
@@ -199,14 +199,14 @@
 	b.mu.Lock()
 	x := b.behaviour
 	b.mu.Unlock()
-	if x.Early {
+	if x.AnswerBeforeBody {
 		b.reject(c, req, x)
 	}
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return false
 	}
-	if x.Early {
+	if x.AnswerBeforeBody {
 		return true
 	}
 	if expected := req.Header.Get("Tamarindstep-Expected-Instance"); expected != b.Name {
@@ -215,23 +215,23 @@
 		return err == nil
 	}
 	b.recordArrival()
-	if x.Reject || x.Rest != "" {
+	if x.Reject || x.RetryAfter != "" {
 		return b.reject(c, req, x)
 	}
 	run := b.recordRun(req, body)
-	if x.EndsUnder != "" && x.EndsUnder == string(body) {
-		time.Sleep(x.EndsAfter)
+	if x.CrashOnBody != "" && x.CrashOnBody == string(body) {
+		time.Sleep(x.CrashDelay)
 		b.crash()
 		return false
 	}
 	if x.Drop {
 		return false
 	}
-	if x.Surplus {
-		_, _ = io.WriteString(c, responseHead(200, "another", "")+Behaviour{Leaving: x.Misled}.leavingHeader()+"Content-Length: 5\r\n\r\nother")
+	if x.ExtraAnswer {
+		_, _ = io.WriteString(c, responseHead(200, "another", "")+Behaviour{Leaving: x.ExtraAnswerLeaving}.leavingHeader()+"Content-Length: 5\r\n\r\nother")
 	}
 	id := req.Header.Get("Tamarindstep-Request-Id")
-	if x.Nameless {
+	if x.OmitRequestID {
 		id = ""
 	}
 	if x.Events > 0 {
@@ -269,8 +269,8 @@
 	b.recordRejection()
 	id := req.Header.Get("Tamarindstep-Request-Id")
 	retryAfter := ""
-	if x.Rest != "" {
-		retryAfter = "Retry-After: " + x.Rest + "\r\n"
+	if x.RetryAfter != "" {
+		retryAfter = "Retry-After: " + x.RetryAfter + "\r\n"
 	}
 	_, err := io.WriteString(c, responseHead(503, id, "")+x.leavingHeader()+retryAfter+"Tamarindstep-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
@@ -331,11 +331,11 @@
 	for n := from + 1; n <= x.Events; n++ {
 		b.sleep(x.Gap)
 		event := Event(n)
-		cut := x.CutAfter > 0 && n > x.CutAfter
-		if cut && x.CutInside {
+		cut := x.AbortAfter > 0 && n > x.AbortAfter
+		if cut && x.AbortWithinEvent {
 			event = event[:len(event)/2]
 		}
-		if cut && !x.CutInside {
+		if cut && !x.AbortWithinEvent {
 			return false
 		}
 		if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event); err != nil {
@@ -352,6 +352,6 @@
 func (b *Backend) recordDisconnect(run int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.runs[run].Left = true
+	b.runs[run].Disconnected = true
 	return false
 }
--- a/internal/standin/users/caller.go
+++ b/internal/standin/users/caller.go
@@ -18,13 +18,13 @@
 	Attempts               int
 	Resumable              bool
 	Timeout                time.Duration
-	// Unhurried omits the objective.
-	Unhurried bool
+	// NoObjective omits the objective.
+	NoObjective bool
 }
 
 // objectiveMS returns the time until an answer should start, in milliseconds; 0 for no objective.
 func (r Route) objectiveMS() int {
-	if r.Unhurried {
+	if r.NoObjective {
 		return 0
 	}
 	return 800
@@ -76,8 +76,8 @@
 // ConfigurationKey is the store's key of the operators' configuration.
 const ConfigurationKey = "op/config"
 
-// DefaultIdle is the default idle timeout of callers' connections.
-const DefaultIdle = 15 * time.Second
+// DefaultIdleTimeout is the default idle timeout of callers' connections.
+const DefaultIdleTimeout = 15 * time.Second
 
 // Request is a caller's request.
 type Request struct {
--- a/internal/standin/users/door.go
+++ b/internal/standin/users/door.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Door is an address of the store that can be disabled separately.
-type Door struct {
+// StoreEndpoint is an address of the store that can be disabled separately.
+type StoreEndpoint struct {
 	store      *Store
 	server     *httptest.Server
 	disabled   atomic.Bool
@@ -21,9 +21,9 @@
 // connOpenedKey is the context key for the time at which a connection was opened.
 type connOpenedKey struct{}
 
-// Door returns a new address of the store.
-func (s *Store) Door() *Door {
-	d := &Door{store: s}
+// NewEndpoint returns a new address of the store.
+func (s *Store) NewEndpoint() *StoreEndpoint {
+	d := &StoreEndpoint{store: s}
 	d.server = httptest.NewUnstartedServer(http.HandlerFunc(d.serve))
 	d.server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
 		return context.WithValue(ctx, connOpenedKey{}, time.Now().UnixNano())
@@ -35,10 +35,10 @@
 	return d
 }
 
-// Hush makes the connections that are open now stop responding permanently; new ones work.
-func (d *Door) Hush() { d.silencedAt.Store(time.Now().UnixNano()) }
+// SilenceConnections makes the connections that are open now stop responding permanently; new ones work.
+func (d *StoreEndpoint) SilenceConnections() { d.silencedAt.Store(time.Now().UnixNano()) }
 
-func (d *Door) serve(w http.ResponseWriter, r *http.Request) {
+func (d *StoreEndpoint) serve(w http.ResponseWriter, r *http.Request) {
 	if opened, ok := r.Context().Value(connOpenedKey{}).(int64); ok && opened <= d.silencedAt.Load() {
 		<-r.Context().Done()
 		return
@@ -52,13 +52,13 @@
 }
 
 // Address returns the IP and port.
-func (d *Door) Address() string { return strings.TrimPrefix(d.server.URL, "http://") }
+func (d *StoreEndpoint) Address() string { return strings.TrimPrefix(d.server.URL, "http://") }
 
-// Shut makes every call at this address fail, and ends open watches.
-func (d *Door) Shut() {
+// Disable makes every call at this address fail, and ends open watches.
+func (d *StoreEndpoint) Disable() {
 	d.disabled.Store(true)
 	d.server.CloseClientConnections()
 }
 
-// Open ends the effect of Shut.
-func (d *Door) Open() { d.disabled.Store(false) }
+// Enable ends the effect of Disable.
+func (d *StoreEndpoint) Enable() { d.disabled.Store(false) }
--- a/internal/standin/users/pace.go
+++ b/internal/standin/users/pace.go
@@ -26,8 +26,8 @@
 	Pause time.Duration
 }
 
-// DialNarrow connects to a router with a small receive buffer.
-func DialNarrow(address string) (*Caller, error) {
+// DialSmallWindow connects to a router with a small receive buffer.
+func DialSmallWindow(address string) (*Caller, error) {
 	return dial(net.Dialer{Control: limitReceiveWindow}, address)
 }
 
--- a/internal/standin/users/plain.go
+++ b/internal/standin/users/plain.go
@@ -14,9 +14,9 @@
 
 // Forms of plain answers.
 const (
-	Sized   Form = ""        // by Content-Length
-	Chunked Form = "chunked" // by chunked encoding
-	Open    Form = "open"    // by closing the connection
+	Sized      Form = ""        // by Content-Length
+	Chunked    Form = "chunked" // by chunked encoding
+	UntilClose Form = "open"    // by closing the connection
 )
 
 // Shape is the shape of a plain answer, which a request selects by its query.
@@ -68,9 +68,9 @@
 // plain writes a plain answer, and reports whether the connection remains open.
 func (b *Backend) plain(c net.Conn, x Behaviour, id string, shape Shape) bool {
 	b.sleep(x.Gap)
-	if x.Held != nil {
+	if x.HoldUntil != nil {
 		select {
-		case <-x.Held:
+		case <-x.HoldUntil:
 		case <-b.closed:
 		}
 	}
@@ -78,13 +78,13 @@
 	if status == 0 {
 		status = http.StatusOK
 	}
-	if x.Unframed {
-		shape.Form = Open
+	if x.NoLength {
+		shape.Form = UntilClose
 	}
 	out := responseHead(status, id, "seal-"+b.Name) + x.leavingHeader()
 	body := shape.Body()
 	switch shape.Form {
-	case Open:
+	case UntilClose:
 		_, _ = io.WriteString(c, out+"\r\n"+body)
 		if x.Reset {
 			reset(c)
--- a/internal/standin/users/store.go
+++ b/internal/standin/users/store.go
@@ -27,7 +27,7 @@
 	lastLeaseID       int64
 	changed           chan struct{}
 	down              bool
-	endpoints         []*Door
+	endpoints         []*StoreEndpoint
 	watchesSuspended  bool  // watches report no events
 	compactedRevision int64 // history up to this revision is no longer available
 	answersToLose     int   // number of answers to writes to be dropped
@@ -50,7 +50,7 @@
 	Deleted bool `json:"gone,omitempty"`
 }
 
-// NewStore returns an empty store. Its addresses are created by Door.
+// NewStore returns an empty store. Its addresses are created by NewEndpoint.
 func NewStore() *Store {
 	s := &Store{
 		items: map[string]entry{}, leases: map[int64]*lease{}, changed: make(chan struct{}),
@@ -85,12 +85,12 @@
 	return s.down
 }
 
-// Stale is the suffix that Calls expects after the path of stale reads.
-const Stale = "1"
+// StaleSuffix is the suffix that Calls expects after the path of stale reads.
+const StaleSuffix = "1"
 
-// HoldStaleReads makes stale reads return the current items from now on, whatever is written later. Their answers
+// FreezeStaleReads makes stale reads return the current items from now on, whatever is written later. Their answers
 // still contain the store's current revision.
-func (s *Store) HoldStaleReads() {
+func (s *Store) FreezeStaleReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleItems = maps.Clone(s.items)
@@ -98,7 +98,7 @@
 
 // itemsFor returns the items that a read sees. The caller must hold s.mu.
 func (s *Store) itemsFor(r *http.Request) map[string]entry {
-	if s.staleItems != nil && r.URL.Query().Get("stale") == Stale {
+	if s.staleItems != nil && r.URL.Query().Get("stale") == StaleSuffix {
 		return s.staleItems
 	}
 	return s.items
@@ -129,8 +129,8 @@
 	s.answersToLose = n
 }
 
-// Mute sets whether watches are suspended. When they resume, the history until then is no longer available.
-func (s *Store) Mute(suspended bool) {
+// SuspendWatches sets whether watches are suspended. When they resume, the history until then is no longer available.
+func (s *Store) SuspendWatches(suspended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchesSuspended = suspended
@@ -147,8 +147,8 @@
 	s.put(key, base64.StdEncoding.EncodeToString(value), 0)
 }
 
-// PutText writes a text in place of a base64 value, as a faulty writer does.
-func (s *Store) PutText(key, text string) {
+// PutRaw writes a text in place of a base64 value, as a faulty writer does.
+func (s *Store) PutRaw(key, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(key, text, 0)
@@ -167,8 +167,8 @@
 // Evacuate marks a data hall as evacuated.
 func (s *Store) Evacuate(hall, value string) { s.Put(evacuatePrefix+hall, []byte(value)) }
 
-// TakeBack ends the evacuation of a data hall.
-func (s *Store) TakeBack(hall string) { s.Remove(evacuatePrefix + hall) }
+// EndEvacuation ends the evacuation of a data hall.
+func (s *Store) EndEvacuation(hall string) { s.Remove(evacuatePrefix + hall) }
 
 // Keys returns the keys with a prefix.
 func (s *Store) Keys(prefix string) []string {
--- a/internal/standin/vmlist.go
+++ b/internal/standin/vmlist.go
@@ -39,7 +39,7 @@
 		return
 	}
 	faults := l.currentFaults()
-	if faults.Out {
+	if faults.Unavailable {
 		dropConnection(ctx)
 		return
 	}
