--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	// DecisionFraction is the fraction of a request's objective within which a decision is due. A caller that is refused within a
-	// quarter of its objective can still be served in time when it retries; the round trip to the router takes some of
-	// that.
+	// DecisionFraction is the fraction of a request's objective within which a decision is due. A caller that is refused
+	// within a quarter of its objective can still be served in time when it retries; the round trip to the router takes
+	// some of that.
 	DecisionFraction = 1.0 / 8
 	// minDecisionTime is the least time in which a whole core makes one decision. The window never exceeds the number
 	// of decisions that are possible in time at this rate.
--- a/core/claims/claims.go
+++ b/core/claims/claims.go
@@ -102,8 +102,8 @@
 	Data     []byte
 }
 
-// CallResult is the result of a Call. For a read, or a swap that failed because of another revision, Data and Revision are
-// the current ones; for a swap that took effect, Revision is the new one.
+// CallResult is the result of a Call. For a read, or a swap that failed because of another revision, Data and Revision
+// are the current ones; for a swap that took effect, Revision is the new one.
 type CallResult struct {
 	Failed   bool // the call may or may not have taken effect
 	Swapped  bool
@@ -164,7 +164,8 @@
 	return []OpResult{{ID: op.ID, Result: r}}
 }
 
-// NextWake returns the time at which Next has something to do, and false if nothing is pending or a call is in progress.
+// NextWake returns the time at which Next has something to do, and false if nothing is pending or a call is in
+// progress.
 func (s *Shard) NextWake(now model.Time) (model.Time, bool) {
 	if s.call != nil || len(s.pending)+len(s.batch) == 0 {
 		return 0, false
--- a/core/core.go
+++ b/core/core.go
@@ -142,8 +142,8 @@
 // may not.
 func (c *Core) LimitCold(limits cold.Limits) { c.coldLimits = limits }
 
-// AssignHomesPerDataHall assigns prompts with common parts a home in each data hall instead of one in the fleet. It must be
-// called before a configuration is in force.
+// AssignHomesPerDataHall assigns prompts with common parts a home in each data hall instead of one in the fleet. It
+// must be called before a configuration is in force.
 func (c *Core) AssignHomesPerDataHall() { c.hallHomes = true }
 
 // LimitLoads sets how many bytes a second of load reports this router sends to each receiver: both its own reports and
--- a/core/event.go
+++ b/core/event.go
@@ -42,7 +42,8 @@
 	Fingerprint model.Fingerprint
 }
 
-// RefusedUnread lists requests that were refused before they reached the core; they count towards their accounts' demand.
+// RefusedUnread lists requests that were refused before they reached the core; they count towards their accounts'
+// demand.
 type RefusedUnread struct{ Requests []UnreadRequest }
 
 // UnreadRequest is the header information of a request whose body wasn't read.
@@ -103,7 +104,7 @@
 // HeldRequestsLoaded lists the held-back requests that the store contains.
 type HeldRequestsLoaded struct{ Suspicions []*wire.Suspicion }
 
-// TryAnswered is the answer to an RequestTry.
+// TryAnswered is the answer to a RequestTry.
 type TryAnswered struct {
 	ID      RequestID
 	Granted bool
@@ -226,8 +227,8 @@
 	Unconfirmed int // messages without a confirmation that they were forwarded
 }
 
-// NewerVersionSeen reports that another router has a newer configuration in force, a newer catalog of backend servers, or
-// newer evacuations.
+// NewerVersionSeen reports that another router has a newer configuration in force, a newer catalog of backend servers,
+// or newer evacuations.
 type NewerVersionSeen struct {
 	From         string
 	Address      string
@@ -251,8 +252,8 @@
 // ContactStore requests a small read of the store; StoreContacted reports whether it was answered.
 type ContactStore struct{}
 
-// SuspectedAccounts lists the accounts of requests during which backend servers have terminated. Only their requests need a
-// fingerprint.
+// SuspectedAccounts lists the accounts of requests during which backend servers have terminated. Only their requests
+// need a fingerprint.
 type SuspectedAccounts struct{ Accounts []model.AccountID }
 
 // HeldChanged reports that a request is held back, is no longer held back, or that a try of it has failed.
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -208,8 +208,8 @@
 	a.rootService += s.sum()
 }
 
-// SetBacklog records whether an account has requests waiting at this router and how many of its requests are running from
-// here.
+// SetBacklog records whether an account has requests waiting at this router and how many of its requests are running
+// from here.
 func (l *Ledger) SetBacklog(now model.Time, key model.Key, backlogged bool, running int) {
 	a := l.accountFor(key)
 	if a.localBacklogged == backlogged && a.localRunning == uint32(running) {
--- a/core/ledger/lift.go
+++ b/core/ledger/lift.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// EffectiveVirtual returns a function that returns an account's position in the order of a pool: its virtual service, lifted
-// if the root hasn't yet received that the account is backlogged and so hasn't lifted it.
+// EffectiveVirtual returns a function that returns an account's position in the order of a pool: its virtual service,
+// lifted if the root hasn't yet received that the account is backlogged and so hasn't lifted it.
 func (l *Ledger) EffectiveVirtual(pool model.PoolID) func(model.Key) model.Service {
 	least, found := l.least(pool)
 	return func(key model.Key) model.Service {
--- a/core/prompt/loads.go
+++ b/core/prompt/loads.go
@@ -180,7 +180,8 @@
 	return age
 }
 
-// MeanReportAge returns the mean time since the last contact with the other routers. A benchmark of package core uses it.
+// MeanReportAge returns the mean time since the last contact with the other routers. A benchmark of package core uses
+// it.
 func (m *Machine) MeanReportAge() time.Duration {
 	if len(m.peers) == 0 {
 		return 0
--- a/core/prompt/prompt.go
+++ b/core/prompt/prompt.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// SetNotices sets the book of notices that backend servers have sent about themselves.
+// SetNotices sets the registry of notices that backend servers have sent about themselves.
 func (m *Machine) SetNotices(notices *notice.Registry) { m.notices = notices }
 
 // SetRouters sets the number of live routers, this one included.
--- a/core/prompt/shares.go
+++ b/core/prompt/shares.go
@@ -139,7 +139,8 @@
 	return Usage{}
 }
 
-// TotalStarted returns the tokens that an account has started on all routers since this router's start, as far as reported.
+// TotalStarted returns the tokens that an account has started on all routers since this router's start, as far as
+// reported.
 func (m *Machine) TotalStarted(account model.AccountID) float64 {
 	if h := m.shares.accounts[account]; h != nil {
 		return h.total.Started
--- a/core/report.go
+++ b/core/report.go
@@ -115,8 +115,8 @@
 	l.urgent = l.urgent || delay == 0
 }
 
-// scheduleAllReports schedules reports to all owners after a change of ownership, except where the report would be empty as
-// the last one was.
+// scheduleAllReports schedules reports to all owners after a change of ownership, except where the report would be
+// empty as the last one was.
 func (c *Core) scheduleAllReports() {
 	for _, owner := range sortedKeys(c.placement.ownedBy) {
 		l := c.owners[owner]
--- a/core/suspect/send.go
+++ b/core/suspect/send.go
@@ -27,8 +27,8 @@
 // NextSend returns when TakeDue next has suspicions to return, MaxTime if it has none.
 func (b *Tracker) NextSend() model.Time { return b.nextSend }
 
-// TakeDue returns the suspicions that are due to be sent to the other routers, those with the most ends first, and counts
-// each as sent once.
+// TakeDue returns the suspicions that are due to be sent to the other routers, those with the most ends first, and
+// counts each as sent once.
 func (b *Tracker) TakeDue(now model.Time) []Suspicion {
 	if now < b.nextSend {
 		return nil
--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -216,8 +216,8 @@
 	return out
 }
 
-// StartTry records that a try is made, and reports whether it may be made: not if a backend server on which the request ran
-// has ended since the try was requested.
+// StartTry records that a try is made, and reports whether it may be made: not if a backend server on which the request
+// ran has ended since the try was requested.
 func (b *Tracker) StartTry(now model.Time, f model.Fingerprint) bool {
 	e := b.entries[f]
 	if e == nil || !b.isHeld(f) {
--- a/core/suspicions.go
+++ b/core/suspicions.go
@@ -55,8 +55,8 @@
 	return true
 }
 
-// RequireTryGrants makes each try subject to a grant that is requested by an RequestTry. Without it, routers whose tries are due
-// at the same time would all try, as a try takes some tenths of a second to become known at the others.
+// RequireTryGrants makes each try subject to a grant that is requested by a RequestTry. Without it, routers whose tries
+// are due at the same time would all try, as a try takes some tenths of a second to become known at the others.
 func (c *Core) RequireTryGrants() { c.suspicions.grantRequired = true }
 
 // try records that a held-back request is sent once more, and reports whether it may be.
@@ -116,8 +116,8 @@
 	}
 }
 
-// sendMissingSuspicions sends a router the suspicions recorded here if its digest differs. Of more than maxSuspicionsSent
-// it sends a random range.
+// sendMissingSuspicions sends a router the suspicions recorded here if its digest differs. Of more than
+// maxSuspicionsSent it sends a random range.
 func (c *Core) sendMissingSuspicions(d *wire.Datagram) {
 	s := &c.suspicions
 	if d.SuspicionsDigest == s.book.Digest() || c.now < s.lastSent[d.From]+suspicionsInterval {
@@ -135,8 +135,8 @@
 	c.datagramTo(d.From).Suspicions = encodeSuspicions(c.now, known)
 }
 
-// reportSuspicionChanges reports changes of the requests that are held back, and of the client accounts whose requests are to
-// be fingerprinted.
+// reportSuspicionChanges reports changes of the requests that are held back, and of the client accounts whose requests
+// are to be fingerprinted.
 func (c *Core) reportSuspicionChanges() {
 	s := &c.suspicions
 	if s.book.NextSend() <= c.now {
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -55,8 +55,8 @@
 	namespace = errorx.NewNamespace("generation")
 	// Conflict is the error of an apply whose base is no longer the last generation.
 	Conflict = namespace.NewType("conflict")
-	// OutcomeUnknown is the error of an apply whose outcome could not be determined. The apply can be retried with the same
-	// identifier.
+	// OutcomeUnknown is the error of an apply whose outcome could not be determined. The apply can be retried with the
+	// same identifier.
 	OutcomeUnknown = namespace.NewType("unknown")
 	// ReadOnly is the error of an apply where the configuration is written to the store by another system.
 	ReadOnly = namespace.NewType("foreign")
--- a/internal/exchange/clients.go
+++ b/internal/exchange/clients.go
@@ -26,8 +26,8 @@
 	return c.of(address)
 }
 
-// ForProcess returns the Client for one process of the server at an IP address and port, identified by its start time, 0 if
-// unknown. Connections to another process aren't reused: after a network partition they may stay open without
+// ForProcess returns the Client for one process of the server at an IP address and port, identified by its start time,
+// 0 if unknown. Connections to another process aren't reused: after a network partition they may stay open without
 // delivering data.
 func (c *Clients) ForProcess(address string, born uint64) *Client {
 	c.mu.Lock()
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -9,8 +9,8 @@
 // acceptRetryDelay is the delay after a failure to accept a connection.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// RetryListener is a listener that retries when accepting a connection fails. Servers that stop at the first failure accept
-// no more connections once the process has run out of file descriptors for a moment.
+// RetryListener is a listener that retries when accepting a connection fails. Servers that stop at the first failure
+// accept no more connections once the process has run out of file descriptors for a moment.
 type RetryListener struct{ net.Listener }
 
 // Accept implements net.Listener. It fails only once the listener is closed.
--- a/scheduler/observer.go
+++ b/scheduler/observer.go
@@ -26,8 +26,8 @@
 	Suspended func(time.Duration)
 	// HeldChanged receives each change of whether a request is held back, and each failed try of one.
 	HeldChanged func(core.HeldChanged)
-	// RequestTry requests permission for a try of a held-back request; the result is sent to the core as core.TryAnswered. If no
-	// observer has it, each router decides on its own.
+	// RequestTry requests permission for a try of a held-back request; the result is sent to the core as core.TryAnswered.
+	// If no observer has it, each router decides on its own.
 	RequestTry func(core.RequestTry)
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -181,8 +181,8 @@
 // behindQueue is the number of queued events above which the process counts as behind.
 const behindQueue = 200
 
-// SinceStoreReached returns the time since a router that watches the store last reached it, according to the reports received.
-// Later writes of the operators may not have been received.
+// SinceStoreReached returns the time since a router that watches the store last reached it, according to the reports
+// received. Later writes of the operators may not have been received.
 func (s *Service) SinceStoreReached() time.Duration {
 	return s.now() - model.Time(s.storeReached.Load())
 }
