--- a/core/byprompt.go
+++ b/core/byprompt.go
@@ -72,9 +72,9 @@
 	c.prompt.Arrive(c.now, in)
 }
 
-// turnedAway counts requests that were refused before they reached the core: an account's demand affects the shares of
+// countRefusedUnread counts requests that were refused before they reached the core: an account's demand affects the shares of
 // the others wherever its requests are refused.
-func (c *Core) turnedAway(e RefusedUnread) {
+func (c *Core) countRefusedUnread(e RefusedUnread) {
 	for _, r := range e.Requests {
 		in := prompt.Request{Account: r.Account, Pool: r.Pool, Route: r.Route, Prompt: r.Prompt}
 		if c.config.Pools[r.Pool].FollowLoad {
--- a/core/core.go
+++ b/core/core.go
@@ -190,7 +190,7 @@
 		c.tryAnswered(e)
 	case RefusedUnread:
 		if c.byPrompt() {
-			c.turnedAway(e)
+			c.countRefusedUnread(e)
 		}
 	case Began:
 		c.prompt.RecordBegin(c.now, e.ID)
@@ -236,7 +236,7 @@
 
 // Wake returns when the next Tick is due.
 func (c *Core) Wake() model.Time {
-	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.NextTick(), c.ledger.NextWake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.book.NextSend())
+	wake := min(c.prompt.Wake(), c.nextLoads(), c.members.NextTick(), c.ledger.NextWake(c.now), c.nextReport(), c.nextDeadline(), c.nextReady(), c.nextWatch(), c.suspicions.tracker.NextSend())
 	return max(wake, c.now+minWake)
 }
 
--- a/core/datagram.go
+++ b/core/datagram.go
@@ -87,7 +87,7 @@
 		d.Catalog = c.config.Catalog
 		d.Halls = c.config.Halls
 		d.StoreAgeMs = c.storeAge()
-		d.SuspicionsDigest = c.suspicions.book.Digest()
+		d.SuspicionsDigest = c.suspicions.tracker.Digest()
 		if d.Probe != nil || len(d.Grants) > 0 {
 			d.Free = c.freeSlots()
 		}
--- a/core/loads.go
+++ b/core/loads.go
@@ -178,7 +178,7 @@
 	c.loads.sequence++
 	self := c.members.Self()
 	out := encodeLoadReport(report)
-	out.Suspicions = encodeSuspicions(c.now, c.suspicions.book.TakeDue(c.now))
+	out.Suspicions = encodeSuspicions(c.now, c.suspicions.tracker.TakeDue(c.now))
 	out.Router = model.NameHash(self.Name)
 	out.Process = uint32(self.Boot)
 	out.Sequence = c.loads.sequence
--- a/core/loads_test.go
+++ b/core/loads_test.go
@@ -101,10 +101,10 @@
 	is.True(current > 40) // all but those to which the failed routers should have forwarded it
 }
 
-// TestTurnedAwayCountsAsAsked refuses requests before the core receives them. They must count as asked at the other
+// TestRefusedUnreadCountsAsRequested refuses requests before the core receives them. They must count as asked at the other
 // routers as well: the account would otherwise appear to need no more than it gets, and the shares of the others would
 // be computed without it.
-func TestTurnedAwayCountsAsAsked(t *testing.T) {
+func TestRefusedUnreadCountsAsRequested(t *testing.T) {
 	is := is.New(t)
 	f := loadedFleet(9, 60_000)
 	account := model.Account(accountNames(1)[0])
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -36,7 +36,7 @@
 	// backend servers in the largest fleet supported.
 	maxLeaving = 8192
 	// evictTo is the number of notices left after an eviction, so that evictions are rare. Evicting one at each
-	// notice took 5 ms, 41 s for 8,192 notices beyond maxLeaving, instead of 0.02 s in all (TestBookIsBounded).
+	// notice took 5 ms, 41 s for 8,192 notices beyond maxLeaving, instead of 0.02 s in all (TestRegistryIsBounded).
 	evictTo = maxLeaving * 3 / 4
 )
 
@@ -46,7 +46,7 @@
 	rests   map[model.BackendID]model.Time // when the rest ends
 }
 
-// New returns an empty book.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{leaving: map[model.BackendID]model.Time{}, rests: map[model.BackendID]model.Time{}}
 }
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -28,10 +28,10 @@
 	return true
 }
 
-// TestBookMatchesPlainModel compares the book with a list of all notices received, for drawn notices and times.
-func TestBookMatchesPlainModel(t *testing.T) {
+// TestRegistryMatchesPlainModel compares the registry with a list of all notices received, for drawn notices and times.
+func TestRegistryMatchesPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		book := New()
+		registry := New()
 		var all []received
 		now := model.Time(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -44,12 +44,12 @@
 			r.notice.Rest = time.Duration(rapid.IntRange(0, 4000).Draw(t, "rest")) * time.Millisecond
 			before := accepts(all, now, r.id)
 			all = append(all, r)
-			changed := book.Record(now, r.id, r.notice)
+			changed := registry.Record(now, r.id, r.notice)
 			if after := accepts(all, now, r.id); changed != (before && !after) {
 				t.Fatalf("changed is %v, accepted new requests before: %v, after: %v", changed, before, after)
 			}
 			for id := model.BackendID(1); id <= 4; id++ {
-				if got, want := book.Accepts(now, id), accepts(all, now, id); got != want {
+				if got, want := registry.Accepts(now, id), accepts(all, now, id); got != want {
 					t.Fatalf("server %d accepts new requests: %v, want %v", id, got, want)
 				}
 			}
@@ -57,26 +57,26 @@
 	})
 }
 
-func TestBookIsBounded(t *testing.T) {
+func TestRegistryIsBounded(t *testing.T) {
 	is := is.New(t)
-	book := New()
+	registry := New()
 	for i := range 2 * maxLeaving {
 		id := model.BackendID(i + 1)
-		book.Record(model.Time(i), id, Notice{Leaving: true})
-		book.Record(model.Time(i)*time.Second, id, Notice{Rest: time.Second})
+		registry.Record(model.Time(i), id, Notice{Leaving: true})
+		registry.Record(model.Time(i)*time.Second, id, Notice{Rest: time.Second})
 	}
-	is.True(len(book.leaving) <= maxLeaving && len(book.leaving) >= evictTo)
-	is.True(len(book.rests) <= 2)
-	is.True(book.IsLeaving(2*maxLeaving, 2*maxLeaving)) // the newest
-	is.True(!book.IsLeaving(2*maxLeaving, maxLeaving))  // evicted, as one of the oldest
+	is.True(len(registry.leaving) <= maxLeaving && len(registry.leaving) >= evictTo)
+	is.True(len(registry.rests) <= 2)
+	is.True(registry.IsLeaving(2*maxLeaving, 2*maxLeaving)) // the newest
+	is.True(!registry.IsLeaving(2*maxLeaving, maxLeaving))  // evicted, as one of the oldest
 }
 
 func BenchmarkTakes(b *testing.B) {
-	book := New()
+	registry := New()
 	for i := range 500 {
-		book.Record(0, model.BackendID(i), Notice{Leaving: i%2 == 0, Rest: time.Second})
+		registry.Record(0, model.BackendID(i), Notice{Leaving: i%2 == 0, Rest: time.Second})
 	}
 	for i := 0; b.Loop(); i++ {
-		book.Accepts(model.Time(i), model.BackendID(i%1000))
+		registry.Accepts(model.Time(i), model.BackendID(i%1000))
 	}
 }
--- a/core/prompt/rest_test.go
+++ b/core/prompt/rest_test.go
@@ -15,20 +15,20 @@
 // noticeMachine is a machine whose backend servers send notices.
 type noticeMachine struct {
 	*Machine
-	book   *notice.Registry
-	config Config
-	lastID model.RequestID
+	registry *notice.Registry
+	config   Config
+	lastID   model.RequestID
 }
 
 func newNoticeMachine(servers int, engine bool) *noticeMachine {
 	n := &noticeMachine{
-		Machine: New(0, rand.New(rand.NewPCG(1, 2))), book: notice.New(),
+		Machine: New(0, rand.New(rand.NewPCG(1, 2))), registry: notice.New(),
 		config: Config{Pools: map[model.PoolID]Pool{pool: {Engine: engine}}, Backends: map[model.BackendID]Backend{}},
 	}
 	for i := range servers {
 		n.config.Backends[model.BackendID(i+1)] = Backend{Name: fmt.Sprint("server-", i+1), Pool: pool, Near: true, Slots: 8}
 	}
-	n.SetNotices(n.book)
+	n.SetNotices(n.registry)
 	n.Configure(0, n.config)
 	return n
 }
@@ -65,8 +65,8 @@
 		t.Run(fmt.Sprint("engine: ", engine), func(t *testing.T) {
 			is := is.New(t)
 			n := newNoticeMachine(4, engine)
-			n.book.Record(time.Second, 1, notice.Notice{Leaving: true})
-			n.book.Record(time.Second, 2, notice.Notice{Rest: 3 * time.Second})
+			n.registry.Record(time.Second, 1, notice.Notice{Leaving: true})
+			n.registry.Record(time.Second, 2, notice.Notice{Rest: 3 * time.Second})
 			got := n.arriveMany(2*time.Second, 200)
 			is.Equal(got[1]+got[2], 0)
 			is.True(got[3] > 0 && got[4] > 0)
@@ -90,9 +90,9 @@
 		t.Run(fmt.Sprint("engine: ", engine), func(t *testing.T) {
 			is := is.New(t)
 			n := newNoticeMachine(3, engine)
-			n.book.Record(0, 1, notice.Notice{Leaving: true})
-			n.book.Record(0, 2, notice.Notice{Rest: 5 * time.Second})
-			n.book.Record(0, 3, notice.Notice{Rest: 3 * time.Second})
+			n.registry.Record(0, 1, notice.Notice{Leaving: true})
+			n.registry.Record(0, 2, notice.Notice{Rest: 5 * time.Second})
+			n.registry.Record(0, 3, notice.Notice{Rest: 3 * time.Second})
 			soonest, latest := time.Hour, time.Duration(0)
 			for range 100 {
 				r := n.arriveAndDecide(time.Second).(Refuse)
@@ -112,13 +112,13 @@
 func TestRequestWaitsForShortRest(t *testing.T) {
 	is := is.New(t)
 	n := newNoticeMachine(1, true)
-	n.book.Record(0, 1, notice.Notice{Rest: 3 * time.Second})
+	n.registry.Record(0, 1, notice.Notice{Rest: 3 * time.Second})
 	d, sent := n.arriveAndDecide(2900 * time.Millisecond).(Dispatch)
 	is.True(sent)
 	is.True(d.Waited >= 100*time.Millisecond && d.Waited < 150*time.Millisecond)
 
 	n = newNoticeMachine(2, true)
-	n.book.Record(0, 1, notice.Notice{Rest: 30 * time.Second})
+	n.registry.Record(0, 1, notice.Notice{Rest: 30 * time.Second})
 	d = n.arriveAndDecide(time.Second).(Dispatch)
 	is.Equal(d.Backend, model.BackendID(2))
 	n.Finish(time.Second, d.ID, Rejected, 0) // briefly excluded
--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -139,7 +139,7 @@
 	version  uint64
 }
 
-// New returns an empty book. The salt must differ between routers.
+// New returns an empty tracker. The salt must differ between routers.
 func New(salt uint64) *Tracker {
 	return &Tracker{
 		salt: salt, entries: map[model.Fingerprint]*entry{}, ended: map[model.BackendID]model.Time{},
--- a/core/suspect/suspect_test.go
+++ b/core/suspect/suspect_test.go
@@ -174,14 +174,14 @@
 }
 
 func BenchmarkJudge(b *testing.B) {
-	book := New(1)
+	tracker := New(1)
 	for i := range maxEntries {
 		at := time.Duration(i) * time.Millisecond
-		book.RecordEnd(at, model.Fingerprint(i), account, endedAt(at, i))
-		book.RecordEnd(at, model.Fingerprint(i), account, endedAt(at, i+1))
+		tracker.RecordEnd(at, model.Fingerprint(i), account, endedAt(at, i))
+		tracker.RecordEnd(at, model.Fingerprint(i), account, endedAt(at, i+1))
 	}
-	book.evaluate()
+	tracker.evaluate()
 	for b.Loop() {
-		book.Decide(10*time.Second, 5)
+		tracker.Decide(10*time.Second, 5)
 	}
 }
--- a/core/suspicions.go
+++ b/core/suspicions.go
@@ -19,8 +19,8 @@
 
 // suspicions is the state of holding back requests during which backend servers end.
 type suspicions struct {
-	book     *suspect.Tracker
-	version  uint64 // of the book, when it was last read
+	tracker  *suspect.Tracker
+	version  uint64 // of the tracker, when it was last read
 	accounts []model.AccountID
 	held     map[model.Fingerprint]bool
 	failed   map[model.Fingerprint]int // failed tries of the requests that are held back
@@ -31,7 +31,7 @@
 }
 
 func newSuspicions(salt uint64) suspicions {
-	return suspicions{book: suspect.New(salt), held: map[model.Fingerprint]bool{}, lastSent: map[string]model.Time{}, pendingTries: map[RequestID]Arrive{}}
+	return suspicions{tracker: suspect.New(salt), held: map[model.Fingerprint]bool{}, lastSent: map[string]model.Time{}, pendingTries: map[RequestID]Arrive{}}
 }
 
 // holdBack refuses a request that is held back, or requests a grant for its try. It returns false if the request is to
@@ -40,7 +40,7 @@
 	if e.Fingerprint == 0 {
 		return false
 	}
-	verdict := c.suspicions.book.Evaluate(c.now, e.Fingerprint)
+	verdict := c.suspicions.tracker.Evaluate(c.now, e.Fingerprint)
 	switch {
 	case !verdict.Held:
 		return false
@@ -61,12 +61,12 @@
 
 // try records that a held-back request is sent once more, and reports whether it may be.
 func (c *Core) try(e Arrive) bool {
-	book := c.suspicions.book
-	if !book.StartTry(c.now, e.Fingerprint) {
-		c.emit(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: book.NextTry(e.Fingerprint) - c.now})
+	tracker := c.suspicions.tracker
+	if !tracker.StartTry(c.now, e.Fingerprint) {
+		c.emit(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: tracker.NextTry(e.Fingerprint) - c.now})
 		return false
 	}
-	c.emit(Tried{Fingerprint: e.Fingerprint, Account: e.Account, Ends: len(book.Ends(e.Fingerprint))})
+	c.emit(Tried{Fingerprint: e.Fingerprint, Account: e.Account, Ends: len(tracker.Ends(e.Fingerprint))})
 	return true
 }
 
@@ -78,7 +78,7 @@
 	}
 	delete(c.suspicions.pendingTries, e.ID)
 	if !e.Granted {
-		c.emit(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: c.suspicions.book.NextTry(waited.Fingerprint) - c.now})
+		c.emit(Refuse{ID: e.ID, Reason: HeldBack, RetryAfter: c.suspicions.tracker.NextTry(waited.Fingerprint) - c.now})
 		return
 	}
 	if c.try(waited) {
@@ -88,21 +88,21 @@
 
 // serverEnded records that a backend server has ended during a request.
 func (c *Core) serverEnded(e ServerEnded) {
-	c.suspicions.book.RecordEnd(c.now, e.Fingerprint, e.Account, suspect.End{
+	c.suspicions.tracker.RecordEnd(c.now, e.Fingerprint, e.Account, suspect.End{
 		Backend: e.Backend, At: c.now, Ran: e.RunTime, Begun: e.Begun,
 	})
 }
 
 // answered records that a request got a complete answer.
 func (c *Core) answered(e Answered) {
-	c.suspicions.book.RecordAnswer(c.now, e.Fingerprint)
+	c.suspicions.tracker.RecordAnswer(c.now, e.Fingerprint)
 }
 
 // mergeSuspicions merges suspicions received from another router.
 func (c *Core) mergeSuspicions(received []*wire.Suspicion) {
 	for _, in := range received {
 		if s, ok := decodeSuspicion(c.now, in); ok {
-			c.suspicions.book.Merge(c.now, s)
+			c.suspicions.tracker.Merge(c.now, s)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 func (c *Core) restoreSuspicions(stored []*wire.Suspicion) {
 	for _, in := range stored {
 		if s, ok := decodeSuspicion(c.now, in); ok {
-			c.suspicions.book.Restore(c.now, s)
+			c.suspicions.tracker.Restore(c.now, s)
 		}
 	}
 }
@@ -120,10 +120,10 @@
 // maxSuspicionsSent it sends a random range.
 func (c *Core) sendMissingSuspicions(d *wire.Datagram) {
 	s := &c.suspicions
-	if d.SuspicionsDigest == s.book.Digest() || c.now < s.lastSent[d.From]+suspicionsInterval {
+	if d.SuspicionsDigest == s.tracker.Digest() || c.now < s.lastSent[d.From]+suspicionsInterval {
 		return
 	}
-	known := s.book.Entries()
+	known := s.tracker.Entries()
 	if len(known) == 0 {
 		return
 	}
@@ -139,28 +139,28 @@
 // are to be fingerprinted.
 func (c *Core) reportSuspicionChanges() {
 	s := &c.suspicions
-	if s.book.NextSend() <= c.now {
+	if s.tracker.NextSend() <= c.now {
 		c.loads.changed = true
 	}
-	if s.book.Version() == s.version {
+	if s.tracker.Version() == s.version {
 		return
 	}
-	s.version = s.book.Version()
-	if accounts := s.book.Accounts(); !slices.Equal(accounts, s.accounts) {
+	s.version = s.tracker.Version()
+	if accounts := s.tracker.Accounts(); !slices.Equal(accounts, s.accounts) {
 		s.accounts = accounts
 		c.emit(SuspectedAccounts{Accounts: accounts})
 	}
 	held, failed := map[model.Fingerprint]bool{}, map[model.Fingerprint]int{}
-	for _, h := range s.book.Held() {
+	for _, h := range s.tracker.Held() {
 		f := h.Fingerprint
-		held[f], failed[f] = true, s.book.Failed(f)
+		held[f], failed[f] = true, s.tracker.Failed(f)
 		if !s.held[f] || failed[f] > s.failed[f] {
-			c.emit(HeldChanged{Held: true, Failed: s.held[f], Seen: s.book.Observed(f), Suspicion: encodeSuspicion(c.now, h)})
+			c.emit(HeldChanged{Held: true, Failed: s.held[f], Seen: s.tracker.Observed(f), Suspicion: encodeSuspicion(c.now, h)})
 		}
 	}
 	for _, f := range sortedKeys(s.held) {
 		if !held[f] {
-			c.emit(HeldChanged{Seen: s.book.Observed(f), Suspicion: &wire.Suspicion{Fingerprint: uint64(f)}})
+			c.emit(HeldChanged{Seen: s.tracker.Observed(f), Suspicion: &wire.Suspicion{Fingerprint: uint64(f)}})
 		}
 	}
 	s.held, s.failed = held, failed
--- a/core/suspicions_test.go
+++ b/core/suspicions_test.go
@@ -228,9 +228,9 @@
 		}
 		c := newSuspicions(1)
 		if s, ok := decodeSuspicion(time.Hour, &in); ok {
-			c.book.Merge(time.Hour, s)
+			c.tracker.Merge(time.Hour, s)
 		}
-		if in.Fingerprint != uint64(suspectRequest) && c.book.Decide(time.Hour, suspectRequest).Held {
+		if in.Fingerprint != uint64(suspectRequest) && c.tracker.Decide(time.Hour, suspectRequest).Held {
 			t.Fatal("another request is held back")
 		}
 	})
--- a/core/view.go
+++ b/core/view.go
@@ -28,14 +28,14 @@
 }
 
 func (c *Core) viewHeld(out *wire.StatusResponse) {
-	for _, h := range c.suspicions.book.Held() {
+	for _, h := range c.suspicions.tracker.Held() {
 		first := c.now
 		for _, end := range h.Ends {
 			first = min(first, end.At)
 		}
 		out.Held = append(out.Held, &wire.HeldStatus{
 			Fingerprint: uint64(h.Fingerprint), Account: c.config.Accounts[h.Account].Name, Ends: uint32(len(h.Ends)),
-			SinceMs: milliseconds(c.now - first), TryMs: milliseconds(c.suspicions.book.NextTry(h.Fingerprint) - c.now),
+			SinceMs: milliseconds(c.now - first), TryMs: milliseconds(c.suspicions.tracker.NextTry(h.Fingerprint) - c.now),
 		})
 	}
 }
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -130,7 +130,7 @@
 		return environment{}, err
 	}
 	log.Info().Msg("peer key read from the store")
-	maker := fingerprint.NewHasher(key.Data)
+	hasher := fingerprint.NewHasher(key.Data)
 	routers := &platform.Routers{Store: kv, Self: vmlist.VM{
 		Name: s.Name, Address: s.PeerListen, DataHall: s.DataHall, Role: vmlist.RoleRouter, State: vmlist.StateLive,
 		Processor: s.Processor,
@@ -148,13 +148,13 @@
 			Processor:    s.Processor,
 			WriteTimeout: s.CallerStall,
 			MemoryLimit:  int(s.MemoryMB * heldFraction * bytesPerMB),
-			Fingerprints: maker,
+			Fingerprints: hasher,
 		}, log, metrics),
 		leave: routers.Leave,
 		keyService: func(peers *peer.Service, generations *generation.Service) kernel.Service {
 			keys := peerkey.New(peerkey.Settings{
 				Store: kv, Key: platform.PeerKeyKey, Current: key,
-				OnAdopt: func(key []byte) { peers.Rekey(key); maker.Rekey(key) },
+				OnAdopt: func(key []byte) { peers.Rekey(key); hasher.Rekey(key) },
 			}, log)
 			peers.OnForged(keys.KeyMismatch)
 			metrics.Platform.Era.Set(float64(kv.Era()))
--- a/front/front.go
+++ b/front/front.go
@@ -55,7 +55,7 @@
 	claims     *claim.Service
 	back       *back.Service
 	traces     *telemetry.Traces
-	witness    blame.Tracker
+	tracker    blame.Tracker
 	notices    *notices.Board
 
 	rates    rateEstimator
@@ -115,7 +115,7 @@
 	s.generation, failures[1] = kernel.Lookup[*generation.Service](k, generation.ServiceName)
 	s.claims, failures[2] = kernel.Lookup[*claim.Service](k, claim.ServiceName)
 	s.back, failures[3] = kernel.Lookup[*back.Service](k, back.ServiceName)
-	s.witness = blame.Tracker{
+	s.tracker = blame.Tracker{
 		Scheduler: s.scheduler, Servers: s.back, Fingerprints: s.fingerprints, Ended: s.metrics.Front.EndedServers,
 	}
 	s.notices = notices.New(s.scheduler, clock.System, s.metrics.Front.Notices)
--- a/front/serve.go
+++ b/front/serve.go
@@ -55,7 +55,7 @@
 // serve schedules the request, claims its key, sends it, and relays the response.
 func (s *Service) serve(ctx *fasthttp.RequestCtx, c *call) {
 	a := &attempt{service: s, ctx: ctx, call: c, began: time.Now(), holder: claim.NewHolder()}
-	a.blame = s.witness.Track(c.account, a.fingerprintInput())
+	a.blame = s.tracker.Track(c.account, a.fingerprintInput())
 	a.trace, a.span = s.traces.StartSpan(s.traces.Extract(context.Background(), &ctx.Request.Header), "request", trace.SpanKindServer)
 	a.span.SetAttributes(attribute.String("account", c.accountName), attribute.String("route", c.route.Name))
 	ctx.Response.Header.Set(requestIDHeader, c.id)
@@ -326,13 +326,13 @@
 
 // callerStopCounter returns a function that counts a response of which the caller read only a part.
 func (a *attempt) callerStopCounter(conn net.Conn) func() {
-	breaches := a.service.metrics.Front.IncompleteAnswers
+	incomplete := a.service.metrics.Front.IncompleteAnswers
 	return func() {
 		why := telemetry.BreakCallerLeft
 		if bounded, ok := conn.(*stall.Conn); ok && bounded.Stalled() {
 			why = telemetry.BreakCallerStalled
 		}
-		breaches.WithLabelValues(string(why)).Inc()
+		incomplete.WithLabelValues(string(why)).Inc()
 	}
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -97,7 +97,7 @@
 		a.countOutcome("caller-left")
 		return false
 	}
-	a.blame = a.service.witness.Track(a.account, a.fingerprintInput)
+	a.blame = a.service.tracker.Track(a.account, a.fingerprintInput)
 	ctx, left := context.WithTimeout(context.Background(), a.left())
 	defer left()
 	a.ctx = ctx
--- a/gateway/breach.go
+++ b/gateway/breach.go
@@ -7,9 +7,9 @@
 	"github.com/tamarindstep/tamarindstep/telemetry"
 )
 
-// breachOf returns why a response that had begun was truncated. cause is the read or write error, nil if no backend
+// breakCauseOf returns why a response that had begun was truncated. cause is the read or write error, nil if no backend
 // server can continue the response.
-func (a *attempt) breachOf(cause error) telemetry.BreakCause {
+func (a *attempt) breakCauseOf(cause error) telemetry.BreakCause {
 	var stalled *stall.Error
 	switch {
 	case errors.As(cause, &stalled):
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -78,7 +78,7 @@
 	scheduler  *scheduler.Service
 	generation *generation.Service
 	back       *back.Service
-	witness    blame.Tracker
+	tracker    blame.Tracker
 	notices    *notices.Board
 	clock      *clock.Clock
 	inFlight   inFlight
@@ -123,7 +123,7 @@
 	if err := errors.Join(failures[:]...); err != nil {
 		return err
 	}
-	s.witness = blame.Tracker{
+	s.tracker = blame.Tracker{
 		Scheduler: s.scheduler, Servers: s.back, Fingerprints: s.settings.Fingerprints, Ended: s.metrics.Front.EndedServers,
 	}
 	s.notices = notices.New(s.scheduler, s.clock, s.metrics.Front.Notices)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -183,7 +183,7 @@
 func (a *attempt) giveUp(r *refusal) {
 	switch {
 	case a.relay.begun:
-		a.abort(a.breachOf(nil))
+		a.abort(a.breakCauseOf(nil))
 	case a.mayHaveRun:
 		a.refuse(backendBrokeOff, 0)
 	default:
@@ -194,7 +194,7 @@
 // handleFailure handles a request that was sent and whose response failed. It returns false if the request is sent
 // again.
 func (a *attempt) handleFailure(d scheduler.Decision, cause error) bool {
-	why := a.breachOf(cause)
+	why := a.breakCauseOf(cause)
 	if a.callerLeft() {
 		a.finish(core.Broken, 0)
 		a.keepAlive = false
--- a/internal/socket/listen_test.go
+++ b/internal/socket/listen_test.go
@@ -22,8 +22,8 @@
 	return l.Listener.Accept()
 }
 
-// TestPatientRetries accepts a connection after failures, and fails once the listener is closed.
-func TestPatientRetries(t *testing.T) {
+// TestRetryListenerRetries accepts a connection after failures, and fails once the listener is closed.
+func TestRetryListenerRetries(t *testing.T) {
 	is := is.New(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/notices/notices.go
+++ b/notices/notices.go
@@ -24,17 +24,17 @@
 
 // Board holds the notices that a router has received.
 type Board struct {
-	decisions Scheduler
+	scheduler Scheduler
 	clock     *clock.Clock
 	counter   *prometheus.CounterVec // by kind
 
-	mu   sync.Mutex
-	book *notice.Registry
+	mu       sync.Mutex
+	registry *notice.Registry
 }
 
 // New returns an empty board. It counts received notices by kind in counter.
-func New(decisions Scheduler, c *clock.Clock, counter *prometheus.CounterVec) *Board {
-	return &Board{decisions: decisions, clock: c, counter: counter, book: notice.New()}
+func New(scheduler Scheduler, c *clock.Clock, counter *prometheus.CounterVec) *Board {
+	return &Board{scheduler: scheduler, clock: c, counter: counter, registry: notice.New()}
 }
 
 // Record records a notice of a backend server, and reports whether it changes what may be sent to it. It sends the
@@ -49,10 +49,10 @@
 	if n.Rest > 0 {
 		b.counter.WithLabelValues("rest").Inc()
 	}
-	b.decisions.Enqueue(core.NoticeReceived{Backend: id, Notice: n})
+	b.scheduler.Enqueue(core.NoticeReceived{Backend: id, Notice: n})
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.Record(b.clock.Now(), id, n)
+	return b.registry.Record(b.clock.Now(), id, n)
 }
 
 // Unreadable counts a notice that can't be parsed.
@@ -62,5 +62,5 @@
 func (b *Board) Accepts(id model.BackendID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.Accepts(b.clock.Now(), id)
+	return b.registry.Accepts(b.clock.Now(), id)
 }
