--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	if !hmac.Equal(got, proof(key, otherRole, otherNonce, ownNonce)) {
-		return Forged.New("invalid handshake proof from %s", c.RemoteAddr())
+		return Forged.New("the other side of %s lacks the peer key", c.RemoteAddr())
 	}
 	return c.SetReadDeadline(time.Time{})
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -272,7 +272,7 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return Unreachable.Wrap(err, "connecting to %s", address)
+		return Unreachable.Wrap(err, "no connection to %s", address)
 	}
 	c := stall.New(raw, writeStall)
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -280,7 +280,7 @@
 	stop() // from here on drpc handles the end of the context
 	if err != nil {
 		_ = c.Close()
-		return Unreachable.Wrap(err, "handshake with %s", address)
+		return Unreachable.Wrap(err, "no handshake with %s", address)
 	}
 	conn := drpcconn.New(c)
 	defer func() { _ = conn.Close() }()
