--- a/blame/blame.go
+++ b/blame/blame.go
@@ -77,7 +77,7 @@
 // A request that ends every backend server that runs it is repeated under other identifiers and at other routers,
 // where each attempt looks like the first. Of two such requests, repeated every 350 ms for 15 s, 55 and 28 runs
 // began, 39 and 22 of them more than three seconds after the third. With this record, 4 and 4 begin, 1 and 1 of them
-// as late (TestPlatformRequestsThatEndServersAreHeldBack).
+// as late (TestPlatformCrashInducingRequestsAreHeldBack).
 func (c *Request) Interrupted(s Attempt) bool {
 	ran := time.Since(s.At)
 	if !c.tracker.Servers.Ended(s.Address) {
--- a/core/core.go
+++ b/core/core.go
@@ -153,7 +153,7 @@
 	c.loads.presence.enabled = c.byPrompt()
 }
 
-// Step processes one event at a time that doesn't decrease, and returns the resulting actions in order.
+// Step processes one event at the given time, which must not decrease, and returns the resulting actions in order.
 func (c *Core) Step(now model.Time, e Event) []Action {
 	c.now = max(c.now, now)
 	c.actions = nil
--- a/core/event.go
+++ b/core/event.go
@@ -264,7 +264,7 @@
 	Suspicion *wire.Suspicion
 }
 
-// RequestTry asks whether a held-back request may be sent once more, which only one router may do at a time.
+// RequestTry requests permission to send a held-back request once more, which only one router may do at a time.
 type RequestTry struct {
 	ID          RequestID
 	Fingerprint model.Fingerprint
--- a/core/loads.go
+++ b/core/loads.go
@@ -18,7 +18,7 @@
 	// forwardInterval is the time between two batches that a relay forwards. A message passes two relays, each of which
 	// holds it for half of this on average.
 	forwardInterval = 50 * time.Millisecond
-	// loadReportRepeat is the delay after which a report is repeated, as the last one may have been lost.
+	// loadReportRepeat is the interval of checks for loads to report again, as their last report may have been lost.
 	loadReportRepeat = time.Second
 	// DefaultLoadsBytes is the default byte rate of the load messages sent to each receiver, in bytes a second: most of
 	// the 13 KB a second that the target fleet size leaves for control traffic.
@@ -32,7 +32,7 @@
 // following the plan of package relay. When the byte budget is used up, the next messages wait and are merged.
 type loadExchange struct {
 	changed       bool       // there are changes to report
-	repeatPending bool       // the last report is to be repeated
+	repeatPending bool       // reported loads are to be checked for repetition
 	lastSent      model.Time // when this router's last report was sent
 	lastForwarded model.Time // when other routers' reports were last forwarded
 	sequence      uint64
--- a/core/loads_test.go
+++ b/core/loads_test.go
@@ -72,7 +72,7 @@
 }
 
 // TestAmountsArriveDespiteDeadRouters guards against accounts that exceed their share for seconds after routers have
-// failed: it kills the routers through which the ledger's tree leads, and requires that what an account asks for right
+// failed: it kills the routers through which the ledger's tree leads, and requires that what an account requests right
 // after is recorded at the others within two exchanges.
 func TestAmountsArriveDespiteDeadRouters(t *testing.T) {
 	is := is.New(t)
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -28,7 +28,7 @@
 	return true
 }
 
-// TestRegistryMatchesPlainModel compares the registry with a list of all notices received, for drawn notices and times.
+// TestRegistryMatchesPlainModel compares the registry with a list of all notices received, for random notices and times.
 func TestRegistryMatchesPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry := New()
--- a/core/pick.go
+++ b/core/pick.go
@@ -44,8 +44,8 @@
 	return best.key, true
 }
 
-// maxUrgentLead is the greatest lead over the last of the waiting accounts, in tokens at weight 1, with which an
-// account's interactive requests may exceed the slots.
+// maxUrgentLead is the greatest lead over the waiting account that is furthest behind, in tokens at weight 1, with
+// which an account's interactive requests may exceed the slots.
 const maxUrgentLead = 1000
 
 // pickUrgent returns the account whose interactive requests may exceed the slots: the furthest behind of those that run
--- a/core/presence.go
+++ b/core/presence.go
@@ -23,7 +23,7 @@
 	relayHeartbeatInterval = 150 * time.Millisecond
 	// heartbeatInterval is how often another router sends a heartbeat to its relay.
 	heartbeatInterval = 200 * time.Millisecond
-	// senderTTL is how long a router counts as a sender after its last report or heartbeat: two heartbeats.
+	// senderTTL is how long a router counts as a sender after its last report or heartbeat: two intervals.
 	senderTTL = 2 * heartbeatInterval
 	// sendersRepeatInterval is how often an unchanged list of senders is sent again, as the last one may have been
 	// lost.
--- a/core/prompt/cache.go
+++ b/core/prompt/cache.go
@@ -29,7 +29,7 @@
 	k.lastUsed[part] = max(k.lastUsed[part], sent)
 }
 
-// evict removes the parts that have been evicted, and all parts if there are still too many.
+// evict removes the parts that the backend server must have evicted, and all parts if there are still too many.
 func (k prefixCache) evict(sent, cacheTokens float64) {
 	for part, used := range k.lastUsed {
 		if sent > used+cacheTokens {
--- a/core/prompt/home_test.go
+++ b/core/prompt/home_test.go
@@ -23,8 +23,8 @@
 	return now + 2*time.Second
 }
 
-// TestHomeHitRateFollowsAnswers first has other routers, whose placements are not received, send every prompt to its
-// home before, and then none.
+// TestHomeHitRateFollowsAnswers first observes answers from homes to which other routers, whose placements are not
+// received, have sent every prompt before, and then answers from homes to which no router has.
 func TestHomeHitRateFollowsAnswers(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(9)
--- a/core/prompt/levels.go
+++ b/core/prompt/levels.go
@@ -63,13 +63,13 @@
 	return out
 }
 
-// activeSpan is the part of the window in which anything was requested. Engines that were idle before cannot have
+// activeSpan returns the length of the part of the window with demand. Engines that were idle before cannot have
 // processed more in it than their rate allows.
 func (m *Machine) activeSpan() time.Duration {
 	return min(max(m.now-m.shares.lastIdle, burst), window)
 }
 
-// fairnessLimit returns the most that an account may have started within a period, so that constrained accounts have started
+// fairnessLimit returns the most that an account may have started in a period, so that constrained accounts have started
 // at least LimitFraction of it, less their largest requests. An account is constrained if it has requested as much as
 // the account that has started most has started, has itself started less than ConstrainedFraction of that, and is not
 // limited itself; for example, because all its callers use one router that lacks processor time. Without the limit,
--- a/core/prompt/limit_test.go
+++ b/core/prompt/limit_test.go
@@ -9,7 +9,7 @@
 )
 
 // constrained returns a machine of many engines and the share status of account 1. Account 1 has started much, and
-// account 2, which may request as much, a fraction of that, both at a steady rate over a window.
+// account 2, with the given demand, the given fraction of that, both at a steady rate over a window.
 func constrained(requested, fraction float64) (*Machine, shareStatus) {
 	m := newMachine(9)
 	m.Sample(0)
@@ -65,7 +65,8 @@
 }
 
 // TestLimitedAccountKeepsBurstMinimum guards against accounts being refused entirely for up to two seconds when
-// others begin to send requests, because of what they had started in the window before.
+// others begin to send requests, because of what they had started in the window before,
+// however little they had started recently.
 func TestLimitedAccountKeepsBurstMinimum(t *testing.T) {
 	is := is.New(t)
 	m, status := constrained(3, 0.4)
--- a/core/prompt/loads.go
+++ b/core/prompt/loads.go
@@ -215,8 +215,8 @@
 	return p != nil && p.process == process
 }
 
-// runningTTL is how long a router's running requests are counted after its last report. They are reported again
-// within refreshAfter; if not, they have ended and the report of that was lost.
+// runningTTL is how long a router's running requests are counted after its last report. A router reports them again
+// within refreshAfter, so one that doesn't has terminated, though it isn't recorded as dead yet.
 const runningTTL = 3 * refreshAfter
 
 // expireRunning removes the running requests of routers whose last report is too old.
--- a/core/prompt/prompt.go
+++ b/core/prompt/prompt.go
@@ -1,5 +1,5 @@
-// Package prompt decides where and when requests are dispatched whose cost is mostly the prefill of their prompts,
-// and which requests are refused.
+// Package prompt decides where and when to dispatch requests whose cost is mostly the prefill of their prompts, and
+// which of them to refuse.
 //
 // # The model of a backend server
 //
--- a/core/prompt/shares.go
+++ b/core/prompt/shares.go
@@ -11,7 +11,7 @@
 const (
 	// window is the period over which shares are computed.
 	window = 4 * time.Second
-	// burst is a second, shorter period over which shares are computed, so that no account starts its share of a
+	// burst is another, shorter period over which shares are computed, so that no account starts its share of a
 	// whole window at once: engines cannot process it, and a share that others have started before leaves no room to
 	// accounts that come later, though the window would allow them more. With a whole second, its first half is over
 	// before routers receive each other's reports: of 24 emulated cold starts with a busy router, 14 gave an account
--- a/core/prompt/shares_test.go
+++ b/core/prompt/shares_test.go
@@ -21,8 +21,8 @@
 	is.True(enough)
 }
 
-// TestSharesAreMaxMin generates requested amounts and lets accounts use their share: the total must match the
-// capacity.
+// TestSharesAreMaxMin generates requested amounts and lets accounts use their share: the total must equal the
+// capacity unless that suffices for all.
 func TestSharesAreMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "accounts")
--- a/core/prompt/validity_test.go
+++ b/core/prompt/validity_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestRefusalValidity checks ValidFor: a refusal for lack of room applies until an engine has prefilled part of its
-// backlog. A refusal over the share applies to other prompts only if the account is limited.
+// backlog. One over the share applies to other prompts only if the account is limited.
 func TestRefusalValidity(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
--- a/core/property_test.go
+++ b/core/property_test.go
@@ -20,7 +20,7 @@
 	mostInput = 50
 )
 
-// Property: without faults, the gap between waiting accounts is within the bound at all times.
+// TestGapIsBounded checks that without faults the gap between waiting accounts is within the bound at all times.
 func TestGapIsBounded(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -35,8 +35,8 @@
 	})
 }
 
-// Property: the gap that builds up after the end of faults is within the bound, whatever state the faults left the
-// routers in.
+// TestGapIsBoundedAfterFaults checks that the gap that builds up after the end of faults is within the bound, whatever
+// state the faults left the routers in.
 func TestGapIsBoundedAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -53,8 +53,8 @@
 	})
 }
 
-// Property: a lead that some accounts gained during a network partition is compensated after it, as the service on each
-// side is counted.
+// TestGapClosesAfterPartition checks that a lead that some accounts gained during a network partition is compensated
+// after it, as the service on each side is counted.
 func TestGapClosesAfterPartition(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -72,7 +72,8 @@
 	})
 }
 
-// Property: a waiting account doesn't go without a dispatch for longer than the longest fault and some time to recover.
+// TestNoAccountStarves checks that no waiting account goes without a dispatch for longer than the longest fault and
+// some time to recover.
 func TestNoAccountStarves(t *testing.T) {
 	const maxWait = 45 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -90,9 +91,9 @@
 	})
 }
 
-// Property: while requests wait, no slot stays free for longer than a round trip and the interval of reports, at a rate
-// of requests for which the byte budget of reports is sufficient. Each datagram lost in succession may add grantExpiry,
-// or as much until the next report; four in succession are allowed for.
+// TestNoSlotIdlesWhileWorkWaits checks that while requests wait, no slot stays free for longer than a round trip and
+// the interval of reports, at a rate of requests for which the byte budget of reports is sufficient. Each datagram lost
+// in succession may add grantExpiry, or as much until the next report; four in succession are allowed for.
 func TestNoSlotIdlesWhileWorkWaits(t *testing.T) {
 	const successive = 4
 	rapid.Check(t, func(t *rapid.T) {
@@ -117,8 +118,8 @@
 	})
 }
 
-// Property: every token is charged once, to the account that received it, at the request's ingress router. If no router
-// is killed, the fleet's total increases by the same amount.
+// TestServiceIsConserved checks that every token is charged once, to the account that received it, at the request's
+// ingress router. If no router is killed, the fleet's total increases by the same amount.
 func TestServiceIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -143,9 +144,9 @@
 	})
 }
 
-// Property: two owners of a backend server, as during a network partition, affect only fairness: every request ends
-// once, and each owner stays within the slots. There may briefly be a third owner, as not all routers detect a
-// partition at the same time.
+// TestTwoOwnersStayWithinSlots checks that two owners of a backend server, as during a network partition, affect only
+// fairness: every request ends once, and each owner stays within the slots. There may briefly be a third owner, as not
+// all routers detect a partition at the same time.
 func TestTwoOwnersStayWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -170,8 +171,8 @@
 	})
 }
 
-// Property: the routers' ledgers converge after the end of faults: their values for an account differ by no more than
-// the service given while an update propagates.
+// TestLedgersAgree checks that the routers' ledgers converge after the end of faults: their values for an account
+// differ by no more than the service given while an update propagates.
 func TestLedgersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRun(t)
@@ -192,7 +193,8 @@
 	})
 }
 
-// The accounts' service in the ledger survives the replacement of all routers one by one.
+// TestLedgerSurvivesReplacements checks that the accounts' service in the ledger survives the replacement of all
+// routers one by one.
 func TestLedgerSurvivesReplacements(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -218,7 +220,8 @@
 // death.
 const capacityTokens = 3 * 72 * 50
 
-// Routers that start at the same time send less than twice as many datagrams while none has a ledger yet as later.
+// TestStartSendsFewDatagrams checks that routers that start at the same time send less than twice as many datagrams
+// while none has a ledger yet as later.
 func TestStartSendsFewDatagrams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, nineRouterConfig(fleetfair.Policy), nineRouterHalls)
@@ -235,7 +238,7 @@
 	}
 }
 
-// A datagram with inconsistent parts has no effect on the requests.
+// TestInconsistentDatagrams checks that a datagram with inconsistent parts has no effect on the requests.
 func TestInconsistentDatagrams(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, smallConfig(), []string{"a", "b"})
@@ -252,7 +255,8 @@
 	is.True(n.core.Idle())
 }
 
-// A late load report still includes a request that has just ended, which isn't counted as foreign.
+// TestLateLoadReportIsNotForeign checks that a request that has just ended, which a late load report still includes,
+// isn't counted as foreign.
 func TestLateLoadReportIsNotForeign(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, smallConfig(), []string{"a"})
--- a/core/relaylink.go
+++ b/core/relaylink.go
@@ -122,7 +122,7 @@
 	case len(unconfirmed) > 0:
 		c.sendLoads([]string{l.link.relay}, unconfirmed, wire.PassOn_PASS_ON_ALL)
 	default:
-		l.changed = true // so that the relay learns that it serves this router
+		l.changed = true // notifies the relay that it serves this router
 	}
 	c.announceSelf(l.link.relay)
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -10,7 +10,7 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// TestFleetStaysInBudget draws requests and failures at several routers, and
+// TestFleetStaysInBudget generates requests and failures at several routers, and
 // checks the number of retries in each window over the fleet.
 func TestFleetStaysInBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -167,7 +167,8 @@
 	w.queue.After(time.Duration(w.random.Int64N(int64(every))), again)
 }
 
-// lateSends returns the number of sends of a request later than the notification of the third reaches all routers.
+// lateSends returns the number of sends of a request after all routers must have been notified of the end during the
+// third one.
 func (w *fleet) lateSends(f model.Fingerprint) int {
 	sent, out := w.sent[f], 0
 	for _, at := range sent[min(len(sent), 3):] {
@@ -178,7 +179,7 @@
 	return out
 }
 
-// The requests of a drawn run: lethal and harmless ones.
+// The requests of a random run: lethal and harmless ones.
 const (
 	firstLethal   = model.Fingerprint(1)
 	firstHarmless = model.Fingerprint(1000)
@@ -225,7 +226,7 @@
 	}
 }
 
-// TestLethalRequestsAreHeldBackInTime draws fleets, lethal requests that crash their servers and
+// TestLethalRequestsAreHeldBackInTime generates fleets, lethal requests that crash their servers and
 // harmless ones, and waves in which half of the servers end. No lethal request has more than
 // three late sends, and harmless ones are served within ten seconds of the last wave.
 func TestLethalRequestsAreHeldBackInTime(t *testing.T) {
@@ -252,8 +253,9 @@
 	})
 }
 
-// TestGrantedTriesAreMadeOneAtATime draws fleets in which a lethal request arrives every 50 ms at routers that receive
-// notifications of each other's tries late: granted tries don't overlap, and there are at most two in the first minute.
+// TestGrantedTriesAreMadeOneAtATime generates fleets in which a lethal request arrives every 50 ms at routers that
+// receive notifications of each other's tries late: granted tries don't overlap, and there are at most two in the
+// first minute.
 func TestGrantedTriesAreMadeOneAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newFleet(t, rapid.IntRange(2, 60).Draw(t, "routers"), 20)
--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -245,7 +245,7 @@
 	return e != nil && e.observed
 }
 
-// Merge merges the state of a request received from another router or read from the store.
+// Merge merges the state of a request received from another router.
 func (b *Tracker) Merge(now model.Time, in Suspicion) {
 	if b.entries[in.Fingerprint] == nil && len(in.Ends) == 0 {
 		return
--- a/core/suspicions.go
+++ b/core/suspicions.go
@@ -56,7 +56,7 @@
 }
 
 // RequireTryGrants makes each try subject to a grant that is requested by a RequestTry. Without it, routers whose tries
-// are due at the same time would all try, as a try takes some tenths of a second to become known at the others.
+// are due at the same time would all try, as the notification of a try takes some tenths of a second.
 func (c *Core) RequireTryGrants() { c.suspicions.grantRequired = true }
 
 // try records that a held-back request is sent once more, and reports whether it may be.
@@ -107,7 +107,7 @@
 	}
 }
 
-// restoreSuspicions merges suspicions read from the store.
+// restoreSuspicions adds the held-back requests read from the store.
 func (c *Core) restoreSuspicions(stored []*wire.Suspicion) {
 	for _, in := range stored {
 		if s, ok := decodeSuspicion(c.now, in); ok {
--- a/core/watch.go
+++ b/core/watch.go
@@ -28,8 +28,8 @@
 	// by probes, at four datagrams a second from each router.
 	maxStoreAge         = time.Second
 	storeAgePerDoubling = 250 * time.Millisecond
-	// watchStagger spreads the routers' limits, so that the others learn of the first new watcher before they contact
-	// the store.
+	// watchStagger spreads the routers' limits, so that the others receive the store age of the first new watcher
+	// before they contact the store.
 	watchStagger = 500 * time.Millisecond
 	// substituteDuration is how long such a router continues to watch. It can't detect whether the watchers reach the
 	// store again, as the ages that it receives may stem from its own contacts.
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -61,7 +61,8 @@
 // callers is a service that serves callers.
 type callers interface {
 	kernel.Service
-	// Drain stops taking new requests, and waits until all others are finished or ctx is done.
+	// Drain returns once no request is being served or ctx is done. New requests are refused, in some
+	// implementations only after a grace period.
 	Drain(ctx context.Context)
 }
 
--- a/e2e/cold_test.go
+++ b/e2e/cold_test.go
@@ -13,7 +13,7 @@
 // announces that it is warm, and its full rate after that.
 func TestPlatformColdBackendServerRateIsLimited(t *testing.T) {
 	p := newPlatform(t, 3, "--cold-overshoot", "1.5", "--cold-slack", "5")
-	const bound = 14 // per second: 6.1 times the overshoot, plus the slack
+	const bound = 14 // in any second: 6.1 times the overshoot, plus the slack
 	for _, b := range p.engines {
 		b.ColdFor = 3 * time.Second
 		b.Announce("ready")
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -49,7 +49,7 @@
 	pool := &restartingPool{platform: p, behaviour: behaviour, stopped: make(chan struct{}), current: map[int]*users.Backend{}}
 	for _, b := range p.services {
 		p.store.Remove("servers/" + b.Name)
-		b.Close() // else routers that haven't seen its removal are served, and a whole answer clears a request's record
+		b.Close() // a router that hasn't seen its removal would get a whole answer, which clears a request's record
 	}
 	for i := range restartingServers {
 		pool.loops.Go(func() { pool.runServer(i) })
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -27,7 +27,7 @@
 	"github.com/tamarindstep/tamarindstep/vmlist"
 )
 
-// maxWait is the longest time to wait for a condition.
+// maxWait is the longest time to wait for a condition. It is generous on purpose: no test asserts a shorter time.
 const maxWait = 60 * time.Second
 
 var binary string
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -172,7 +172,7 @@
 	case 10:
 		s.store.EndEvacuation(s.randomHall())
 	case 11:
-		s.toggleCold()
+		s.setRandomCold()
 	case 12:
 		s.changeIdleLimit()
 	}
@@ -221,8 +221,8 @@
 
 func (s *soak) randomHall() string { return []string{hallA, hallB}[s.random.IntN(2)] }
 
-// toggleCold makes a random engine announce that it is cold, or no longer cold.
-func (s *soak) toggleCold() {
+// setRandomCold makes a random engine announce at random that it is cold or that it is not.
+func (s *soak) setRandomCold() {
 	b := s.engines[s.random.IntN(len(s.engines))]
 	b.ColdFor = time.Duration(s.random.IntN(2)) * 3 * time.Second
 	b.Announce("ready")
--- a/emulator/alternating_test.go
+++ b/emulator/alternating_test.go
@@ -9,8 +9,8 @@
 	"github.com/tamarindstep/tamarindstep/policy/policies"
 )
 
-// alternatingLoad returns an experiment whose engines have more capacity than is allocated as shares. Two groups of
-// fifteen accounts in total send many times their normal load in rotation; two accounts are in both groups. All
+// alternatingLoad returns an experiment whose engines have more capacity than is allocated as shares. Fifteen
+// accounts in two groups send many times their normal load in rotation; two accounts are in both groups. All
 // callers of one of these two connect to one router.
 func alternatingLoad(seed uint64) Experiment {
 	e := Default(policies.Find("prompt-affinity"))
--- a/emulator/result.go
+++ b/emulator/result.go
@@ -18,8 +18,8 @@
 	Late     float64 // fraction of the requests
 	Refused  float64 // fraction of the requests that were not answered
 	Worth    float64 // worth of the requests in time, as a fraction of the total
-	// WorstAccount is the lowest fraction of worth in time of any account in the smaller half, which request no more
-	// than an equal share.
+	// WorstAccount is the lowest fraction of worth in time of any account in the smaller half of the accounts, each of
+	// which requests no more than an equal share.
 	WorstAccount       float64
 	Median, P99        time.Duration // time to first token
 	PrefillTokens      int           // prompt tokens processed
--- a/front/front.go
+++ b/front/front.go
@@ -173,8 +173,8 @@
 	r.write(ctx, detail, retryAfter)
 }
 
-// Drain waits until no request is being served. New connections are still accepted until the load balancer has seen
-// that the router isn't ready; their requests are refused as not run.
+// Drain refuses new requests and waits until those being served have ended. New connections are still accepted until the
+// load balancer has seen that the router isn't ready; their requests are refused as not run.
 func (s *Service) Drain(ctx context.Context) {
 	s.draining.Store(true)
 	s.awaitOpen(ctx)
--- a/front/notice.go
+++ b/front/notice.go
@@ -9,7 +9,7 @@
 	"github.com/tamarindstep/tamarindstep/scheduler"
 )
 
-// recordRetryAfter records for how long an overloaded backend server wants no new requests. A backend server that is
+// recordRetryAfter records for how long an overloaded backend server must get no new requests. A backend server that is
 // leaving reports this through its health checks.
 func (a *attempt) recordRetryAfter(d scheduler.Decision, response *exchange.Response) {
 	after := response.Header.Peek(fasthttp.HeaderRetryAfter)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -147,15 +147,16 @@
 	return nil
 }
 
-// maxStoreSilence is how long the configuration counts as current after the last contact with the store. A
-// configuration change must be in force within two seconds, of which half a second is spent on the store's watch and on
-// gossip.
+// maxStoreSilence is how long the configuration counts as current after any router last reached the store, according to
+// the reports received. A configuration change must be in force within two seconds, of which half a second is spent on
+// the store's watch and on gossip.
 const maxStoreSilence = 1500 * time.Millisecond
 
-// confirmRefusal returns the refusal of a request that the configuration doesn't allow. A router that has had no
-// contact with the store for a while may have an outdated configuration: it returns a retryable refusal, so that the
-// caller tries again, possibly at another router. A small overloaded router otherwise answered 404 for three seconds
-// after a route was in force on all others, because neither gossip datagrams nor store calls got through.
+// confirmRefusal returns the refusal of a request that the configuration doesn't allow. A router that has
+// received no recent report of a contact with the store may have an outdated configuration: it returns a retryable
+// refusal, so that the caller tries again, possibly at another router. A small overloaded router otherwise answered 404
+// for three seconds after a route was in force on all others, because neither gossip datagrams nor store calls got
+// through.
 func (a *attempt) confirmRefusal(r *refusal) *refusal {
 	if a.service.scheduler.SinceStoreReached() > maxStoreSilence {
 		a.keepAlive = false // the next request may reach another router
--- a/gateway/pacer.go
+++ b/gateway/pacer.go
@@ -5,10 +5,10 @@
 // pacer limits the rate of an operation of one goroutine, with bursts of up to pacerBurst.
 type pacer struct {
 	interval time.Duration // 0 for no limit
-	next     time.Time     // when the operations so far are paid for at the rate
+	next     time.Time     // when the operations so far are within the rate again
 }
 
-// pacerBurst is the duration whose operations may be done at once: shorter sleeps aren't worthwhile.
+// pacerBurst is how far the operations may be ahead of the rate before wait sleeps: shorter sleeps aren't worthwhile.
 const pacerBurst = 5 * time.Millisecond
 
 func newPacer(perSecond float64) pacer {
--- a/gateway/screener.go
+++ b/gateway/screener.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// maxBatch is the number of new connections accepted at once.
+	// maxBatch is the maximum number of new connections accepted at once.
 	maxBatch = 16
 	// maxTurn is how long new connections are screened before other goroutines are scheduled. The runtime would preempt
 	// after 10 ms, but a router schedules many goroutines per request.
@@ -28,7 +28,7 @@
 	// maxDataWait is how long the screener keeps a new connection on which nothing has been received: a request follows
 	// its connection at once unless the caller is slow.
 	maxDataWait = 5 * time.Millisecond
-	// maxWaiting is the number of such connections; the oldest are handed over first.
+	// maxWaiting is the maximum number of such connections; above it, the oldest are handed over early.
 	maxWaiting = 64
 )
 
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -59,8 +59,8 @@
 	deadlineMargin = time.Second
 )
 
-// silenceLimit returns how long a backend server may send nothing. One that may be unreachable isn't waited for as long
-// as another can still answer in time.
+// silenceLimit returns how long a backend server may send nothing. While another one can still answer in time, the wait
+// is short, because the first one may be unreachable.
 func (a *attempt) silenceLimit() time.Duration {
 	left := a.left()
 	through := a.route.Through
@@ -105,7 +105,7 @@
 // errNoRequestID is the error for a successful response without a request identifier.
 var errNoRequestID = errors.New("response has no request identifier")
 
-// maxNotSent is the number of backend servers tried when nothing can be sent to them.
+// maxNotSent is the maximum number of backend servers that are tried without being able to send to them.
 const maxNotSent = 3
 
 // handleNotSent handles a request of which nothing was sent. It returns false if another backend server is tried.
@@ -236,7 +236,7 @@
 	return core.Failed
 }
 
-// serverEnded reports whether the backend server of a failed send has crashed, which is recorded against the request.
+// serverEnded reports whether the backend server of a failed send has ended, and if so records that against the request.
 func (a *attempt) serverEnded(d scheduler.Decision, cause error) bool {
 	if errors.Is(cause, errCallerStopped) || errors.Is(cause, errNoRequestID) || errors.Is(cause, errNotRunStatus) {
 		return false
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -13,7 +13,7 @@
 	// lingerTimeout is how long a rejected connection stays open after the response. Closing it at once, with data from
 	// the caller unread, would reset it, and the caller might lose the response.
 	lingerTimeout = 500 * time.Millisecond
-	// maxLingering is the number of such connections; further ones are closed at once.
+	// maxLingering is the maximum number of such connections; further ones are closed at once.
 	maxLingering = 512
 )
 
--- a/generation/settle.go
+++ b/generation/settle.go
@@ -86,7 +86,7 @@
 // markWritten records that an entry was written again or withdrawn. The caller holds the lock.
 func (s *settling) markWritten(name string) { delete(s.kept, name) }
 
-// overlay returns the entries with the previous ones that are kept in place of theirs.
+// overlay returns the entries, with those replaced whose previous state is kept.
 func (s *settling) overlay(entries map[string]*wire.CatalogEntry) []*wire.CatalogEntry {
 	if len(s.kept) == 0 {
 		return slices.SortedFunc(maps.Values(entries), compareNames)
--- a/generation/stale.go
+++ b/generation/stale.go
@@ -18,7 +18,7 @@
 	newerSeenTTL = time.Second
 )
 
-// stale records whether other routers have newer state in force than this one.
+// staleness records whether other routers have newer state in force than this one.
 type staleness struct {
 	since    atomic.Int64 // clock time when the newer state was first seen, 0 if there is none
 	lastSeen atomic.Int64 // clock time when another router last reported it
--- a/generation/suspend.go
+++ b/generation/suspend.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// staleAfter is the length of a suspension after which the state of a router may be outdated: a change is in
-	// force on the others within this time.
+	// staleAfter is the length of a suspension after which the state of a router may be older than the time that a
+	// change takes to come into force on the other routers.
 	staleAfter = time.Second
 	// refreshPeers is the number of other routers that are asked for newer state per attempt.
 	refreshPeers = 3
 )
 
-// handleSuspend handles a suspension of the operating system. Pending calls of the store are made again, as their
+// handleSuspend handles a suspension of the VM. Pending calls of the store are made again, as their
 // connections may be broken. After a suspension of staleAfter or more, the router is not ready until it has received
 // the current state: with the previous one, it would refuse valid keys and routes.
 func (s *Service) handleSuspend(suspension time.Duration) {
--- a/generation/watch.go
+++ b/generation/watch.go
@@ -39,7 +39,7 @@
 // storeCalls is the context of the pending calls of the store and of the delays after failed ones.
 type storeCalls struct {
 	mu     sync.Mutex
-	ctx    context.Context // ends when the store answers again after an outage
+	ctx    context.Context // ends when the calls must be made again: after an outage, a restore or a suspension
 	cancel context.CancelFunc
 }
 
--- a/heldstore/heldstore.go
+++ b/heldstore/heldstore.go
@@ -1,5 +1,5 @@
-// Package heldstore stores the held-back requests in the platform's store, so that they survive a shutdown of all
-// routers. Routers that start while others run receive them from those, with the first datagrams.
+// Package heldstore stores the held-back requests in the platform's store, so that they survive the end of all
+// routers at once. Routers that start while others run receive them from those, with the first datagrams.
 //
 // The store holds one small document. A router that observed the cause of a change merges the change into the
 // document by compare-and-swap. A router reads the document once when it starts. While the store is unavailable,
--- a/heldstore/tries_test.go
+++ b/heldstore/tries_test.go
@@ -22,7 +22,7 @@
 	mu     sync.Mutex
 	values map[string]store.Value
 	out    bool
-	lost   bool // responses of swaps are lost
+	lost   bool // swaps take effect, but their responses are lost
 }
 
 const callTakes = 10 * time.Millisecond
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -57,7 +57,7 @@
 	keepAliveMargin = 500 * time.Millisecond
 )
 
-// keepAliveConfig detects an idle connection that no longer works within a few seconds.
+// keepAliveConfig detects within a few seconds that an idle connection no longer works.
 var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
 // ackTimeout is how long written data may remain unacknowledged before the connection fails: without it the kernel
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// muteServer is a server whose open connections can be made to stop responding, while new ones work.
+// muteServer is a server whose open connections can stop responding for good, while new ones work.
 type muteServer struct {
 	net.Listener
 	epoch atomic.Int64 // connections of an earlier epoch don't respond
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,4 +1,4 @@
-// Package retryafter parses the HTTP header Retry-After, by which a server says for how long it wants no requests.
+// Package retryafter parses the HTTP header Retry-After, which specifies for how long a server must get no requests.
 //
 // HTTP allows a number of seconds (RFC 9110, 10.2.3) or a date. Only numbers are accepted, including fractions: a date
 // is only meaningful if the clocks of both VMs agree.
@@ -13,8 +13,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// Max is the longest time that Parse returns; larger values are reduced to it, so that a server that says a year by
-// mistake receives requests again after this time.
+// Max is the longest time that Parse returns; larger values are reduced to it, so that a server that specifies a
+// year by mistake receives requests again after this time.
 const Max = 10 * time.Minute
 
 // The errors of Parse.
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,9 +1,9 @@
 // Package stall provides connections whose writes fail once the other side has acknowledged nothing for a while.
 //
-// The deadline of a net.Conn applies until another one is set, so that a deadline left behind by one exchange would
-// fail the next, however much later that is written. A Conn sets its own deadline for each write and ignores those set
-// by its users. A write is limited by its progress, not by its size: it continues for as long as the other side
-// acknowledges data.
+// The deadline of a net.Conn applies until another one is set, so that a deadline left behind by one exchange, once it
+// has passed, would fail the writes of the next one, however fast these are. A Conn sets its own deadline for each
+// write and ignores those set by its users. A write is limited by its progress, not by its size: it continues for as
+// long as the other side acknowledges data.
 //
 // The time limits of the router's connections:
 //
--- a/model/model.go
+++ b/model/model.go
@@ -94,7 +94,7 @@
 	return cmp.Or(cmp.Compare(k.Pool, other.Pool), cmp.Compare(k.Account, other.Account))
 }
 
-// NameHash returns the 32-bit hash of a name that identities consist of.
+// NameHash returns the 32-bit hash of a name, which is the value of its identity.
 func NameHash(name string) uint32 {
 	return uint32(xxhash.Sum64String(name))
 }
--- a/model/version.go
+++ b/model/version.go
@@ -10,7 +10,7 @@
 
 const (
 	// revisionBits is the number of bits of the revision: they last four months at 100,000 changes a second, and 87 years
-	// at the 400 that the design assumes.
+	// at the target of 400.
 	revisionBits = 40
 	maxRevision  = 1<<revisionBits - 1
 	// MaxEra is the highest era.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -176,10 +176,9 @@
 	}
 }
 
-// greet sends a greeting to a router at address, which is the last one sent to or the one
-// in the router's datagram, so that a router without addresses of the others can still
-// establish sessions with those that send to it. If address is empty, the greeting is sent
-// to the source address of the datagram.
+// greet sends a greeting to a router at address, or to the source address of its datagram if
+// address is empty. The address is the last one sent to, or the one in the router's datagram:
+// with it, routers that have no address of the other can still establish sessions.
 func (s *Service) greet(name, address string, from net.Addr) {
 	s.mu.Lock()
 	b, err := s.session.greet(name)
--- a/scheduler/lag.go
+++ b/scheduler/lag.go
@@ -8,8 +8,8 @@
 const (
 	// behindThreshold is the mean lag above which the process counts as behind.
 	behindThreshold = 30 * time.Millisecond
-	// maxSample limits a single sample: a process that was paused once
-	// isn't overloaded.
+	// maxSample limits a single sample: a process that was paused had one
+	// large delay, which does not show that it is overloaded.
 	maxSample = 4 * behindThreshold
 	// lateThreshold is the lag of a single event above which the process must not suspect other routers: two thirds of
 	// the time-out of the probes of package member.
--- a/scheduler/unread.go
+++ b/scheduler/unread.go
@@ -8,8 +8,8 @@
 )
 
 // unreadInterval is the interval at which requests that were refused unread are reported to the
-// core. Batching them leaves an overloaded router's core time for other decisions, and other
-// routers aren't notified more often.
+// core. Batching them leaves an overloaded router's core time for other decisions; a shorter
+// interval would not notify other routers any sooner.
 const unreadInterval = 20 * time.Millisecond
 
 // unreadBatch collects requests that were refused unread.
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -57,7 +57,7 @@
 	Pending           prometheus.Gauge
 	PendingLimit      prometheus.Gauge // requests; infinite if no decision was late
 	Streams           prometheus.Gauge
-	StreamsLimit      prometheus.Gauge       // streams; infinite if the event loop isn't delayed
+	StreamsLimit      prometheus.Gauge       // streams; infinite while there is no scheduling delay
 	Work              *prometheus.CounterVec // by kind
 }
 
