--- a/core/datagram.go
+++ b/core/datagram.go
@@ -10,7 +10,7 @@
 	if d.To != c.members.Self().Name || d.From == d.To {
 		return
 	}
-	c.members.RecordBoot(c.now, d.From, d.Boot)
+	c.members.RecordContact(c.now, d.From, d.Boot)
 	for _, r := range d.Rumours {
 		c.members.UpdateAddress(d.From, r)
 		c.members.ApplyRumour(c.now, r)
--- a/core/ledger/lift.go
+++ b/core/ledger/lift.go
@@ -110,7 +110,7 @@
 }
 
 // EffectiveVirtual returns a function that returns an account's position in the order of a pool: its virtual service,
-// lifted if the root hasn't yet received that the account is backlogged and so hasn't lifted it.
+// lifted if the account isn't backlogged in the root's last received state and so hasn't been lifted there.
 func (l *Ledger) EffectiveVirtual(pool model.PoolID) func(model.Key) model.Service {
 	least, found := l.least(pool)
 	return func(key model.Key) model.Service {
--- a/core/loads.go
+++ b/core/loads.go
@@ -332,7 +332,7 @@
 // relays forwarded before the restart was noticed are kept.
 func (c *Core) forgetLoads(change member.Change) {
 	m := c.members.Get(change.Name)
-	if change.Restarted && m != nil && c.prompt.IsCurrentProcess(change.Name, uint32(m.Boot)) {
+	if change.Restarted && m != nil && c.prompt.MatchesLastReport(change.Name, uint32(m.Boot)) {
 		return
 	}
 	c.prompt.RemoveRouter(change.Name)
--- a/core/loads_bench_test.go
+++ b/core/loads_bench_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// reportCosts holds the costs of a run: bytes and messages a second of a router, and the mean age of the last reports
-// received, in milliseconds.
+// reportCosts holds the costs of a run: bytes and messages a second of a router, and the mean time since the last
+// contact with the other routers, in milliseconds.
 type reportCosts struct{ mean, most, messages, age, p99 float64 }
 
 func measureLoadReports(routers, perSecond int, allowed float64) reportCosts {
@@ -57,7 +57,7 @@
 		f.runUntil(begin + time.Duration(i)*every)
 		n := f.routers[i%routers]
 		f.submitPrompt(n, model.Account(names[i%len(names)]), 1000, 20)
-		age += n.core.prompt.MeanReportAge().Seconds() * 1000
+		age += n.core.prompt.MeanContactAge().Seconds() * 1000
 		samples++
 	}
 	out := reportCosts{messages: messages / seconds / float64(routers), age: age / samples}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -251,8 +251,8 @@
 	l.enqueueRumour(l.self.Name)
 }
 
-// RecordBoot records the receipt of an authentic datagram from a member, and its process.
-func (l *List) RecordBoot(now model.Time, from string, boot uint64) {
+// RecordContact records the receipt of an authentic datagram from a member, and its process.
+func (l *List) RecordContact(now model.Time, from string, boot uint64) {
 	m := l.members[from]
 	if m == nil {
 		return
--- a/core/member/rumour.go
+++ b/core/member/rumour.go
@@ -96,7 +96,7 @@
 		m.Processor = float64(r.Processor)
 	}
 	if r.Boot != 0 && m.Boot != r.Boot {
-		l.RecordBoot(m.lastSeen, m.Name, r.Boot)
+		l.RecordContact(m.lastSeen, m.Name, r.Boot)
 	}
 	m.outdated = false
 	if m.Status != r.Status {
--- a/core/prompt/loads.go
+++ b/core/prompt/loads.go
@@ -171,8 +171,8 @@
 	return 0
 }
 
-// oldestReportAge returns the time since the last contact with the router that was contacted the longest ago.
-func (m *Machine) oldestReportAge() time.Duration {
+// oldestContactAge returns the time since the last contact with the router that was contacted the longest ago.
+func (m *Machine) oldestContactAge() time.Duration {
 	age := time.Duration(0)
 	for _, p := range m.peers {
 		age = max(age, m.now-p.lastContact)
@@ -180,9 +180,9 @@
 	return age
 }
 
-// MeanReportAge returns the mean time since the last contact with the other routers. A benchmark of package core uses
+// MeanContactAge returns the mean time since the last contact with the other routers. A benchmark of package core uses
 // it.
-func (m *Machine) MeanReportAge() time.Duration {
+func (m *Machine) MeanContactAge() time.Duration {
 	if len(m.peers) == 0 {
 		return 0
 	}
@@ -209,8 +209,8 @@
 	return PeerContact{At: p.lastContact, Process: p.process, Sequence: p.sequence}
 }
 
-// IsCurrentProcess reports whether the last report of a router came from the given process.
-func (m *Machine) IsCurrentProcess(router string, process uint32) bool {
+// MatchesLastReport reports whether the last report of a router came from the given process.
+func (m *Machine) MatchesLastReport(router string, process uint32) bool {
 	p := m.peers[router]
 	return p != nil && p.process == process
 }
--- a/core/prompt/queue.go
+++ b/core/prompt/queue.go
@@ -272,7 +272,7 @@
 		Delay: p.delay, PrefillTokens: int(p.prefillTokens), Backlog: int(p.backlog), MinDelay: p.minDelay,
 		OverShare: status != statusWithin, StartedFraction: m.startedFraction(r.Account, l.fairShare),
 		RecentStartedFraction: m.recentStartedFraction(r.Account, l), FairShare: l.fairShare, WindowLimit: l.windowLimit, BurstLimit: l.burstLimit,
-		OldestReportAge: m.oldestReportAge(),
+		OldestContactAge: m.oldestContactAge(),
 	}
 	if l.fairShare > 0 {
 		out.RequestedFraction = m.Usage(r.Account).Requested / l.fairShare
--- a/core/prompt/request.go
+++ b/core/prompt/request.go
@@ -57,7 +57,7 @@
 	WindowLimit           float64       // limit on what an account may start in the window, regardless of idle capacity
 	BurstLimit            float64       // the same limit for the last burst period
 	RecentStartedFraction float64       // fraction of its burst share that the account has started
-	OldestReportAge       time.Duration // longest time since the last contact with another router
+	OldestContactAge      time.Duration // longest time since the last contact with another router
 }
 
 // Reason is the reason of a refusal.
--- a/core/prompt/service_test.go
+++ b/core/prompt/service_test.go
@@ -37,7 +37,7 @@
 	refused      int
 	arrivals     map[model.RequestID]model.Time
 	retryRefused bool // refused callers retry once after RetryAfter
-	books        map[*Machine]*notice.Registry
+	registries   map[*Machine]*notice.Registry
 	// disturbed counts the requests that reached a backend server during its rest, more than half a second after it
 	// had requested that rest from their router.
 	disturbed map[restRequest]int
@@ -74,7 +74,7 @@
 	}
 	left := s.restsUntil - w.clock.Now()
 	w.clock.After(roundTrip/2, func() {
-		w.books[m].Record(w.clock.Now(), s.id, notice.Notice{Rest: left})
+		w.registries[m].Record(w.clock.Now(), s.id, notice.Notice{Rest: left})
 		w.finish(m, id, Rejected)
 	})
 }
@@ -82,7 +82,7 @@
 func newServiceSimulation(routers, servers int) *serviceSimulation {
 	w := &serviceSimulation{
 		random: rand.New(rand.NewPCG(7, 8)), servers: map[model.BackendID]*serviceServer{}, arrivals: map[model.RequestID]model.Time{},
-		books: map[*Machine]*notice.Registry{}, disturbed: map[restRequest]int{},
+		registries: map[*Machine]*notice.Registry{}, disturbed: map[restRequest]int{},
 	}
 	c := Config{Pools: map[model.PoolID]Pool{pool: {}}, Backends: map[model.BackendID]Backend{}}
 	for i := range servers {
@@ -93,8 +93,8 @@
 	w.fleet = newFleet(routers, 0, c)
 	for i, m := range w.fleet {
 		m.SetRouters(routers)
-		w.books[m] = notice.New()
-		m.SetNotices(w.books[m])
+		w.registries[m] = notice.New()
+		m.SetNotices(w.registries[m])
 		w.tick(m)
 		w.report(i, 1)
 	}
--- a/core/prompt/startup_test.go
+++ b/core/prompt/startup_test.go
@@ -13,10 +13,10 @@
 // nothing.
 func TestStartupAssumesEqualRemoteLoad(t *testing.T) {
 	is := is.New(t)
-	sent := func(routers int, hear bool) int {
+	sent := func(routers int, reported bool) int {
 		m := newMachine(4)
 		m.SetRouters(routers)
-		if hear {
+		if reported {
 			m.ApplyLoadReport(0, "other", 1, LoadReport{Sequence: 1})
 		}
 		for i := range 10 {
--- a/core/prompt/validity_test.go
+++ b/core/prompt/validity_test.go
@@ -24,8 +24,9 @@
 	return Refuse{}
 }
 
-// TestRefusalValidity checks ValidFor: a refusal for lack of room applies until an engine has prefilled part of its
-// backlog. One over the share applies to other prompts only if the account is limited.
+// TestRefusalValidity checks ValidFor, the time for which the reason of a refusal is expected to apply: for lack of
+// room, until the engine with the least delay has prefilled part of its backlog; over the share, at most until the next
+// sample, and only if the account is limited; without an available backend server, not at all.
 func TestRefusalValidity(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(2)
--- a/core/suspect/fleet_test.go
+++ b/core/suspect/fleet_test.go
@@ -12,19 +12,19 @@
 	"github.com/tamarindstep/tamarindstep/model"
 )
 
-// fleet simulates the books of several routers in virtual time, with backend servers that end and restart, lethal
+// fleet simulates the trackers of several routers in virtual time, with backend servers that end and restart, lethal
 // requests that crash them and harmless ones. Datagrams between routers are delayed.
 type fleet struct {
-	t       *rapid.T
-	queue   eventqueue.Queue
-	random  *rand.Rand
-	books   []*Tracker
-	servers []*server
-	starts  int // of backend servers
-	delay   time.Duration
-	sent    map[model.Fingerprint][]model.Time
-	served  map[model.Fingerprint]model.Time // when last answered
-	refused map[model.Fingerprint]model.Time // when last held back
+	t        *rapid.T
+	queue    eventqueue.Queue
+	random   *rand.Rand
+	trackers []*Tracker
+	servers  []*server
+	starts   int // of backend servers
+	delay    time.Duration
+	sent     map[model.Fingerprint][]model.Time
+	served   map[model.Fingerprint]model.Time // when last answered
+	refused  map[model.Fingerprint]model.Time // when last held back
 
 	granting bool // tries are granted by claims
 	claims   map[model.Fingerprint]model.Time
@@ -54,7 +54,7 @@
 		refused: map[model.Fingerprint]model.Time{},
 	}
 	for i := range routers {
-		w.books = append(w.books, New(w.random.Uint64()+uint64(i)))
+		w.trackers = append(w.trackers, New(w.random.Uint64()+uint64(i)))
 	}
 	for range servers {
 		w.servers = append(w.servers, w.start(&server{}))
@@ -76,7 +76,7 @@
 	s.up = false
 	now := w.queue.Now()
 	for r := range s.running {
-		w.books[r.router].RecordEnd(now, r.f, account, End{Backend: s.id, At: now, Ran: now - r.sent})
+		w.trackers[r.router].RecordEnd(now, r.f, account, End{Backend: s.id, At: now, Ran: now - r.sent})
 	}
 	w.sendDue()
 	w.queue.After(restartDelay, func() { w.start(s) })
@@ -85,9 +85,9 @@
 // sendDue sends each router's due suspicions to all others with a delay.
 func (w *fleet) sendDue() {
 	now := w.queue.Now()
-	for i, b := range w.books {
+	for i, b := range w.trackers {
 		for _, suspicion := range b.TakeDue(now) {
-			for j, other := range w.books {
+			for j, other := range w.trackers {
 				if i != j {
 					w.queue.After(time.Duration(w.random.Int64N(int64(w.delay))), func() { other.Merge(w.queue.Now(), suspicion) })
 				}
@@ -99,14 +99,14 @@
 // arrive handles a request at a random router, which sends it to a backend server unless it is held back.
 func (w *fleet) arrive(f model.Fingerprint, lethal bool) {
 	now := w.queue.Now()
-	router := w.random.IntN(len(w.books))
-	decision := w.books[router].Evaluate(now, f)
+	router := w.random.IntN(len(w.trackers))
+	decision := w.trackers[router].Check(now, f)
 	switch {
 	case decision.Held && !decision.Try:
 		w.refused[f] = now
 	case decision.Try && w.granting:
 		w.queue.After(time.Duration(w.random.Int64N(int64(maxClaimDelay))), func() { w.claim(router, f, lethal) })
-	case !decision.Try || w.books[router].StartTry(now, f):
+	case !decision.Try || w.trackers[router].StartTry(now, f):
 		w.send(router, f, lethal)
 	}
 	w.sendDue()
@@ -121,7 +121,7 @@
 // claim requests a try, and makes it if granted.
 func (w *fleet) claim(router int, f model.Fingerprint, lethal bool) {
 	now := w.queue.Now()
-	if at, claimed := w.claims[f]; claimed && now < at+claimTTL || !w.books[router].StartTry(now, f) {
+	if at, claimed := w.claims[f]; claimed && now < at+claimTTL || !w.trackers[router].StartTry(now, f) {
 		return
 	}
 	w.claims[f] = now
@@ -152,7 +152,7 @@
 		}
 		delete(s.running, r)
 		w.served[f] = w.queue.Now()
-		w.books[router].RecordAnswer(w.queue.Now(), f)
+		w.trackers[router].RecordAnswer(w.queue.Now(), f)
 		w.sendDue()
 	})
 }
--- a/core/suspect/suspect.go
+++ b/core/suspect/suspect.go
@@ -33,7 +33,7 @@
 // # Limits
 //
 // Ends and tries reach other routers some tenths of a second late: that many more sends, and tries unless they are
-// requested first (Evaluate), may happen there. Times received from others are as late. The state is lost with the
+// requested first (Check), may happen there. Times received from others are as late. The state is lost with the
 // process; other routers send theirs with the first datagrams (Digest), and package heldstore writes it to the
 // store for the case that all routers end.
 package suspect
@@ -193,16 +193,16 @@
 
 // Decide decides on a request that has arrived. A try that it returns counts as made.
 func (b *Tracker) Decide(now model.Time, f model.Fingerprint) Decision {
-	out := b.Evaluate(now, f)
+	out := b.Check(now, f)
 	if out.Try {
 		b.StartTry(now, f)
 	}
 	return out
 }
 
-// Evaluate decides on a request that has arrived, where a try must be requested before StartTry is called. No other
+// Check decides on a request that has arrived, where a try must be requested before StartTry is called. No other
 // try is due here while the request is pending.
-func (b *Tracker) Evaluate(now model.Time, f model.Fingerprint) Decision {
+func (b *Tracker) Check(now model.Time, f model.Fingerprint) Decision {
 	e := b.entries[f]
 	if e == nil || !b.isHeld(f) {
 		return Decision{}
--- a/core/suspicions.go
+++ b/core/suspicions.go
@@ -40,7 +40,7 @@
 	if e.Fingerprint == 0 {
 		return false
 	}
-	verdict := c.suspicions.tracker.Evaluate(c.now, e.Fingerprint)
+	verdict := c.suspicions.tracker.Check(c.now, e.Fingerprint)
 	switch {
 	case !verdict.Held:
 		return false
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -72,7 +72,7 @@
 	if l.scheduler, err = kernel.Lookup[*scheduler.Service](k, scheduler.ServiceName); err != nil {
 		return err
 	}
-	l.scheduler.Observe(scheduler.Observer{WatchLoads: l.setBackends})
+	l.scheduler.Observe(scheduler.Observer{PollLoads: l.setBackends})
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	l.cancel = cancel
 	go l.run(runCtx)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -284,7 +284,7 @@
 	return line.Dur("delay_ms", b.Delay).Dur("soonest_ms", b.MinDelay).Int("unread", b.PrefillTokens).
 		Int("backlog", b.Backlog).Int("unheard", b.UnreportedTokens).Float64("slowness", b.Slowness).
 		Bool("over_share", b.OverShare).Str("standing", b.ShareStatus).Float64("best_begun", b.MostStarted).Float64("share_had", b.StartedFraction).Float64("share_asked", b.RequestedFraction).
-		Float64("share_lately", b.RecentStartedFraction).Float64("owed", b.FairShare).Float64("bound", b.WindowLimit).Float64("bound_lately", b.BurstLimit).Dur("loads_age_ms", b.OldestReportAge)
+		Float64("share_lately", b.RecentStartedFraction).Float64("owed", b.FairShare).Float64("bound", b.WindowLimit).Float64("bound_lately", b.BurstLimit).Dur("loads_age_ms", b.OldestContactAge)
 }
 
 // endExpired ends a request of which nothing is being sent, after its deadline has passed or its caller has left.
--- a/generation/catalog.go
+++ b/generation/catalog.go
@@ -30,8 +30,8 @@
 	Revision uint64
 	// Backend is nil if the announcement was withdrawn or cannot be read.
 	Backend *config.Discovered
-	// Problem is the reason why the announcement cannot be read, nil if it can or was withdrawn.
-	Problem error
+	// Err is the reason why the announcement cannot be read, nil if it can or was withdrawn.
+	Err error
 }
 
 // catalog is the state of the backend servers that announce themselves.
@@ -138,7 +138,7 @@
 		switch {
 		case change.Backend != nil:
 			s.catalog.entries[change.Key] = entryOf(change.Backend)
-		case change.Problem != nil:
+		case change.Err != nil:
 			s.applyUnreadable(change, before)
 		default:
 			delete(s.catalog.entries, change.Key)
@@ -173,7 +173,7 @@
 func (s *Service) applyUnreadable(change Announcement, before map[string]*wire.CatalogEntry) {
 	s.metrics.Unreadable.Inc()
 	named := before[change.Key]
-	s.log.Warn().Err(change.Problem).Str("key", change.Key).Uint64("revision", change.Revision).
+	s.log.Warn().Err(change.Err).Str("key", change.Key).Uint64("revision", change.Revision).
 		Bool("replaced", named != nil).Msg("announcement can't be read")
 	delete(s.catalog.entries, change.Key)
 	if named == nil {
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -195,7 +195,7 @@
 func (s *Service) begin(ctx context.Context) {
 	s.run, s.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	s.cancelStoreCalls()
-	s.scheduler.Observe(scheduler.Observer{NewerVersion: s.generationSeen, WatchStore: s.setWatch, ContactStore: s.pingStore, StoreReturned: s.cancelStoreCalls, Suspended: s.handleSuspend})
+	s.scheduler.Observe(scheduler.Observer{NewerVersion: s.generationSeen, WatchStore: s.setWatch, ContactStore: s.pingStore, StoreRecovered: s.cancelStoreCalls, Suspended: s.handleSuspend})
 	s.ended.Add(2)
 	go s.loadInitial()
 	go s.runWatches()
--- a/generation/recovery_test.go
+++ b/generation/recovery_test.go
@@ -222,7 +222,7 @@
 		case core.ContactStore:
 			l.observer.ContactStore()
 		case core.StoreReturned:
-			l.observer.StoreReturned()
+			l.observer.StoreRecovered()
 		}
 	}
 }
--- a/generation/unreadable_test.go
+++ b/generation/unreadable_test.go
@@ -21,7 +21,7 @@
 	good := func(key string) Announcement {
 		return Announcement{Key: key, Backend: &config.Discovered{Incarnation: model.Incarnation{Name: key}, Pool: "engines", Address: "10.0.0.1:1", Slots: 2}}
 	}
-	bad := func(key string) Announcement { return Announcement{Key: key, Problem: errors.New("no entry")} }
+	bad := func(key string) Announcement { return Announcement{Key: key, Err: errors.New("no entry")} }
 	leaving := func() map[string]bool {
 		out := map[string]bool{}
 		for _, e := range s.withLapsed() {
--- a/scheduler/observer.go
+++ b/scheduler/observer.go
@@ -11,15 +11,16 @@
 // any of which may be nil, are called from the core's goroutine and must not
 // block.
 type Observer struct {
-	// WatchLoads receives the backend servers whose load is to be polled.
-	WatchLoads func(backends []model.BackendID)
-	// NewerVersion receives a router that has a newer generation in force.
+	// PollLoads receives the backend servers whose load is to be polled.
+	PollLoads func(backends []model.BackendID)
+	// NewerVersion receives a router that has a newer generation, a newer catalog of backend servers or newer
+	// evacuations in force.
 	NewerVersion func(core.NewerVersionSeen)
 	// WatchStore receives whether the store is to be watched.
 	WatchStore func(watch bool)
-	// StoreReturned is called when the store answers again: pending calls may never be answered, new
+	// StoreRecovered is called when the store answers again: pending calls may never be answered, new
 	// ones are.
-	StoreReturned func()
+	StoreRecovered func()
 	// ContactStore requests a call of the store; the result is sent to the core as core.StoreContacted.
 	ContactStore func()
 	// Suspended receives how long the VM was suspended, after the core's time has been advanced by that.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -295,8 +295,8 @@
 	case core.Watch:
 		s.metrics.Scheduler.OwnedBackends.Set(float64(len(a.Backends)))
 		s.eachObserver(func(o Observer) {
-			if o.WatchLoads != nil {
-				o.WatchLoads(a.Backends)
+			if o.PollLoads != nil {
+				o.PollLoads(a.Backends)
 			}
 		})
 	case core.WatchStore:
@@ -308,7 +308,7 @@
 		})
 	case core.StoreReturned:
 		s.log.Info().Dur("silent_ms", a.Silent).Msg("the store answers again")
-		s.notify(func(o Observer) func() { return o.StoreReturned })
+		s.notify(func(o Observer) func() { return o.StoreRecovered })
 	case core.ContactStore:
 		s.notify(func(o Observer) func() { return o.ContactStore })
 	case core.NewerVersionSeen:
