--- a/Makefile
+++ b/Makefile
@@ -15,11 +15,11 @@
 
 test: lint unit
 
-# The tests that are known to fail, of KNOWN-RED.txt, are run by themselves and
-# printed; their verdict doesn't count.
+# The tests listed in KNOWN-RED.txt are known to fail. unit prints the list and
+# runs them separately; their result is ignored.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
 
-# unit runs every test with the race detector on and fixed seeds.
+# unit runs all tests with the race detector and fixed seeds.
 unit:
 	$(GO) test -race -count=1 -timeout 9m $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$') ./...
 ifneq ($(KNOWN_RED),)
@@ -35,14 +35,15 @@
 $(REVIVE):
 	GOBIN=$(TOOLS) $(GO) install github.com/mgechev/revive@v1.13.0
 
-# tools installs what the maintainers use beside the linter: gopls renames an
-# identifier with every use (gopls rename -w FILE:LINE:COLUMN NAME).
+# tools installs the maintainers' tools: the linter, and gopls, which renames an
+# identifier and all its uses (gopls rename -w FILE:LINE:COLUMN NAME).
 tools: $(REVIVE) $(GOPLS)
 
 $(GOPLS):
 	GOBIN=$(TOOLS) $(GO) install golang.org/x/tools/gopls@v0.23.0
 
-# soak lets faults come over one another for some seconds a seed: make soak SEEDS=50 SEED=1
+# soak runs the soak tests, which inject random, overlapping faults, for SEEDS seeds from SEED on:
+# make soak SEEDS=50 SEED=1
 SEED ?= 1
 SEEDS ?= 50
 soak:
